--- a/include/plumspoke/dispatch/dispatcher.hpp
+++ b/include/plumspoke/dispatch/dispatcher.hpp
@@ -15,13 +15,13 @@
 ///   over once another one, whatever its time of birth, has answered what was sent after it was last heard.
 
 #include "plumspoke/dispatch/counts.hpp"
-#include "plumspoke/dispatch/held_tasks.hpp"
 #include "plumspoke/dispatch/interference.hpp"
+#include "plumspoke/dispatch/longest_waits.hpp"
 #include "plumspoke/dispatch/options.hpp"
 #include "plumspoke/dispatch/placement_counts.hpp"
 #include "plumspoke/dispatch/recent_crashes.hpp"
 #include "plumspoke/dispatch/retry_pauses.hpp"
-#include "plumspoke/dispatch/short_task_room.hpp"
+#include "plumspoke/dispatch/short_task_demand.hpp"
 #include "plumspoke/dispatch/stage_delays.hpp"
 #include "plumspoke/dispatch/strain.hpp"
 #include "plumspoke/dispatch/task_times.hpp"
@@ -274,10 +274,10 @@
     [[nodiscard]] double predict_step_ms(const jobs::job& of, std::uint32_t step) const;
 
     // ---- placement (placement.cpp)
-    /// @brief Names a step of one occurrence; first starts and later ones find room apart.
+    /// @brief Names a step of one occurrence. First starts and restarts of its tasks have separate entries.
     struct step_id
     {
-        std::uint64_t job = 0; // its place in the order of acceptance
+        std::uint64_t job = 0; // position in the order of acceptance
         std::uint32_t occurrence = 0;
         std::uint32_t step = 0;
         bool first_start = false;
@@ -288,160 +288,165 @@
                    std::tie(other.job, other.occurrence, other.step, other.first_start);
         }
     };
-    /// @brief When a step last found that no worker takes its tasks.
-    struct full_step
+    /// @brief A step that no worker could take, as of the last placement that tried it.
+    struct blocked_step
     {
-        std::uint64_t changes = 0;  // workers that have not changed since then don't take it now
-        time_point whole_look_at{}; // then all are asked again, for what changes with time alone
+        std::uint64_t changes = 0; // workers that have not changed since then still can't take it
+        time_point
+            full_rescan_at{}; // when all workers are checked again, for conditions that expire with time
         std::uint64_t placement = 0;
     };
-    /// @brief A worker that takes a step's tasks, and how well it suits.
+    /// @brief A worker that can take a step's tasks, with its score.
     struct candidate
     {
-        worker_view* on = nullptr;
-        double points = 0;
+        worker_view* worker = nullptr;
+        double score = 0;
     };
-    /// @brief What runs, or may run, of one task.
+    /// @brief The runs of one task, including those whose record or end is not committed yet.
     struct task_runs
     {
         std::size_t count = 0;
         std::uint32_t last_attempt = 0;
-        const worker_view* first_on = nullptr;
+        const worker_view* first_worker = nullptr;
     };
-    /// @brief A task of a step whose turn has come: what is looked up for it once.
+    /// @brief A task that is being placed, with its runs, which are looked up once.
     struct waiting_task
     {
         jobs::task_name name;
         task_runs runs;
     };
-    /// @brief How a task starts, as far as it matters to its choice of a worker.
+    /// @brief How a task starts, as far as it affects the choice of a worker.
     enum class start_kind : std::uint8_t
     {
         first,
-        again,          // it lost its worker, and leaves whole places to short tasks where it can
-        again_anywhere, // it has found no such worker
+        restart,          // after losing its worker; respects the headroom for short tasks
+        restart_anywhere, // after no worker was found that way; ignores the headroom
     };
     void place(time_point now, std::int64_t day_ms, const jobs::store& state, jobs::round& into);
     void begin_placement(time_point now);
-    /// @brief How many starts a record may hold before a step has no turn.
+    /// @brief How many starts a round may hold for a step to be placed.
     struct start_limits
     {
-        std::size_t of_kind = 0;
-        std::size_t of_all = 0;
+        std::size_t per_kind = 0;
+        std::size_t total = 0;
     };
-    /// @return whether the step had its turn
-    bool place_in_turn(time_point now, const ready_step& what, start_limits limits, jobs::round& into);
+    /// @return whether the step was within the limits
+    bool place_within_limits(time_point now, const ready_step& step, start_limits limits, jobs::round& into);
     [[nodiscard]] task_runs runs_of(const jobs::task_name& name) const;
-    void place_step(time_point now, const ready_step& what, jobs::round& into);
-    void forget_placed_steps();
-    void place_waiting(time_point now, const ready_step& what, bool first_start, jobs::round& into);
-    void place_gang(time_point now, const ready_step& what, jobs::round& into);
-    /// @brief Whether a task was granted, or why not.
-    enum class granted : std::uint8_t
+    void place_step(time_point now, const ready_step& step, jobs::round& into);
+    void erase_unblocked_steps();
+    void place_waiting_tasks(time_point now, const ready_step& step, bool first_start, jobs::round& into);
+    void place_gang(time_point now, const ready_step& step, jobs::round& into);
+    /// @brief Whether a task was placed, or why not.
+    enum class placement_result : std::uint8_t
     {
-        yes,
-        none_fits,
-        waits_apart, // the best worker holds another suspect
+        placed,
+        no_worker,
+        awaits_isolation, // the best worker runs another suspect
     };
-    granted place_task(const ready_step& what,
-                       const waiting_task& task,
-                       start_kind how,
-                       std::vector<candidate>& candidates,
-                       time_point now,
-                       jobs::round& into);
+    placement_result place_task(const ready_step& step,
+                                const waiting_task& task,
+                                start_kind start,
+                                std::vector<candidate>& candidates,
+                                time_point now,
+                                jobs::round& into);
     [[nodiscard]] std::vector<candidate> find_candidates(time_point now,
-                                                         const ready_step& what,
-                                                         start_kind how,
+                                                         const ready_step& step,
+                                                         start_kind start,
                                                          std::uint64_t changed_since,
                                                          std::size_t wanted);
-    [[nodiscard]] std::vector<candidate> ask_all(time_point now, const ready_step& what, start_kind how);
-    /// @brief The worker at a place of an order, best first; null after the last.
-    using worker_order = std::function<const indexed_worker*(std::size_t)>;
-    [[nodiscard]] worker_order workers_for(time_point now, const ready_step& what, start_kind how);
-    [[nodiscard]] std::vector<indexed_worker> ask_workers(const index_key& what);
-    [[nodiscard]] std::optional<indexed_worker> judge_for_filler(const worker_row& of,
-                                                                 const index_key& what) const;
-    void note_least_filler(std::span<const ready_step> ready);
-    /// @return how many tasks may be started before one of a kind has its turn
+    [[nodiscard]] std::vector<candidate>
+    scan_all_workers(time_point now, const ready_step& step, start_kind start);
+    /// @brief The worker at a position of a ranking, best first; null past the end.
+    using ranked_worker_lookup = std::function<const indexed_worker*(std::size_t)>;
+    [[nodiscard]] ranked_worker_lookup
+    ranked_workers(time_point now, const ready_step& step, start_kind start);
+    [[nodiscard]] std::vector<indexed_worker> make_indexed_workers(const index_key& key);
+    [[nodiscard]] std::optional<indexed_worker> evaluate_for_filler(const worker_row& row,
+                                                                    const index_key& key) const;
+    void update_min_filler_cpu(std::span<const ready_step> ready);
+    /// @return for each kind of work, the number of starts in a round from which it gets no more
     [[nodiscard]] std::array<std::size_t, work_kind_count>
-    limit_starts(std::size_t all, std::span<const ready_step> ready) const;
+    compute_start_limits(std::size_t all, std::span<const ready_step> ready) const;
     void report_placements(time_point now, std::span<const ready_step> ready);
-    [[nodiscard]] duration queued_for(time_point now, std::int64_t day_ms, const ready_step& what) const;
+    [[nodiscard]] duration queueing_time(time_point now, std::int64_t day_ms, const ready_step& step) const;
     void count_waiting(std::span<const ready_step> ready);
-    [[nodiscard]] bool wants_run(const ready_step& what, const waiting_task& task) const;
+    [[nodiscard]] bool needs_run(const ready_step& step, const waiting_task& task) const;
     void grant(time_point now,
-               const ready_step& what,
+               const ready_step& step,
                std::uint32_t index,
                std::uint32_t attempt,
-               worker_view& on,
+               worker_view& worker,
                jobs::round& into);
 
     // ---- choice of a worker (worker_choice.cpp)
-    /// @brief Whether a worker takes a task, or why not.
-    enum class fitness : std::uint8_t
+    /// @brief Whether a worker can take a task, or why not.
+    enum class eligibility : std::uint8_t
     {
-        fits,
+        eligible,
         other_pool,
-        not_usable, // silent, leaving, set aside, or it has just rejected a start
-        no_label,
-        spread, // it holds as many tasks of the step as it may
-        no_room,
-        would_harm, // a filler that would take a serving task's slack
-        held,       // its room is kept for an urgent task that nothing fits yet
-        kept,       // its room is kept for short tasks
+        unavailable, // silent, leaving, set aside, or it has just rejected a start
+        missing_label,
+        per_worker_limit, // it runs as many tasks of the step as the step allows
+        insufficient_capacity,
+        would_interfere,     // a filler that would take slack from a serving task
+        reserved,            // its capacity is reserved for a lasting task that lost its worker
+        short_task_headroom, // its free capacity is kept for short tasks
     };
-    static constexpr std::size_t fitness_count = 9;
-    void note_set_aside_share(time_point now);
+    static constexpr std::size_t eligibility_count = 9;
+    void update_set_aside_limit(time_point now);
     [[nodiscard]] worker_view* choose_worker(time_point now,
-                                             const ready_step& what,
+                                             const ready_step& step,
                                              const waiting_task& task,
-                                             start_kind how,
+                                             start_kind start,
                                              const std::string& rack,
                                              std::span<const candidate> candidates) const;
-    [[nodiscard]] bool is_usable(time_point now, const worker_view& of, bool urgent) const;
-    [[nodiscard]] bool is_present(time_point now, const worker_view& of) const noexcept;
-    [[nodiscard]] static std::uint32_t runs_of_step(const worker_view& of, const ready_step& what);
-    [[nodiscard]] fitness
-    may_take(time_point now, worker_view& of, const ready_step& what, start_kind how) const;
-    void explain_wait(time_point now, const ready_step& what, std::uint32_t index);
-    [[nodiscard]] static double same_image_share(const worker_row& of, image_number image);
-    [[nodiscard]] double score(worker_view& of, const ready_step& what, start_kind how) const;
-    [[nodiscard]] double points_of(const worker_row& of, const index_key& what) const;
-    [[nodiscard]] static index_key key_of(const ready_step& what, start_kind how) noexcept;
-    [[nodiscard]] static bool is_wrong_rack(const worker_view& of, const ready_step& what);
-    [[nodiscard]] std::int64_t cpu_left(const worker_view& of, bool filler) const;
-    [[nodiscard]] worker_row make_row(worker_view& of) const;
+    [[nodiscard]] bool is_available(time_point now, const worker_view& worker, bool urgent) const;
+    [[nodiscard]] bool is_reachable(time_point now, const worker_view& worker) const noexcept;
+    [[nodiscard]] static std::uint32_t count_step_runs(const worker_view& worker, const ready_step& step);
+    [[nodiscard]] eligibility
+    check_eligibility(time_point now, worker_view& worker, const ready_step& step, start_kind start) const;
+    void log_wait_reasons(time_point now, const ready_step& step, std::uint32_t index);
+    [[nodiscard]] static double same_image_share(const worker_row& row, image_number image);
+    [[nodiscard]] double score_worker(worker_view& worker, const ready_step& step, start_kind start) const;
+    [[nodiscard]] double base_score(const worker_row& row, const index_key& key) const;
+    [[nodiscard]] static index_key index_key_for(const ready_step& step, start_kind start) noexcept;
+    [[nodiscard]] static bool is_off_data_rack(const worker_view& worker, const ready_step& step);
+    [[nodiscard]] std::int64_t free_cpu_milli(const worker_view& worker, bool filler) const;
+    [[nodiscard]] worker_row make_row(worker_view& worker) const;
     void fill_rows(time_point now);
 
-    // ---- room for short tasks (kept_room.cpp)
-    struct kept_room
+    // ---- headroom for short tasks (short_task_headroom.cpp)
+    struct pool_headroom
     {
-        short_task_room wanted;
-        std::int64_t pool_milli = 0;    // all processors, as of the last placement
-        std::int64_t usable_milli = 0;  // free of lasting tasks in whole places, as of now
+        short_task_demand demand;
+        std::int64_t pool_milli = 0;   // all processors, as of the last placement
+        std::int64_t usable_milli = 0; // not reserved by lasting tasks and large enough for a slot, as of now
         std::int64_t lasting_milli = 0; // reserved by lasting tasks, as of the last placement
     };
-    void watch_short_tasks(time_point now, std::span<const ready_step> ready);
-    void count_usable_room();
-    void add_room(logging::event& to) const;
-    [[nodiscard]] std::int64_t usable_room(const worker_view& of) const;
-    [[nodiscard]] bool leaves_short_room(const worker_view& of, const ready_step& what) const;
-
-    // ---- held room (held_room.cpp)
-    [[nodiscard]] jobs::room room_beside_lasting(const worker_view& of) const;
-    void hold_room(time_point now, const ready_step& what, std::uint32_t waiting);
-
-    // ---- harm of fillers (filler_harm.cpp)
-    static void refresh_digest(worker_view& of);
-    [[nodiscard]] bool has_harmful_filler(const runs_digest& on) const;
-    [[nodiscard]] bool wants_new_reports(worker_view& of) const;
-    [[nodiscard]] bool has_unknown_filler(const serving_image& serving,
-                                          std::span<const image_number> fillers) const;
-    [[nodiscard]] std::int64_t spare_for_fillers(const worker_view& of) const;
-    [[nodiscard]] double least_slack_beside(const runs_digest& on, image_number filler_image) const;
-    [[nodiscard]] double worst_effect(const runs_digest& on, image_number filler_image) const;
-    [[nodiscard]] bool may_explore(const runs_digest& on, image_number filler_image) const;
-    [[nodiscard]] bool harms(const runs_digest& on, image_number filler_image) const;
+    void update_short_task_demand(time_point now, std::span<const ready_step> ready);
+    void update_usable_headroom();
+    void add_headroom_fields(logging::event& line) const;
+    [[nodiscard]] std::int64_t usable_headroom_milli(const worker_view& worker) const;
+    [[nodiscard]] bool leaves_headroom(const worker_view& worker, const ready_step& step) const;
+
+    // ---- reservations for restarts (restart_reservations.cpp)
+    [[nodiscard]] jobs::room capacity_beside_lasting(const worker_view& worker) const;
+    void reserve_workers(time_point now, const ready_step& step, std::uint32_t waiting);
+
+    // ---- interference by fillers (filler_interference.cpp)
+    static void refresh_colocation(worker_view& worker);
+    [[nodiscard]] bool has_interfering_filler(const colocation_summary& colocation) const;
+    [[nodiscard]] bool needs_frequent_reports(worker_view& worker) const;
+    [[nodiscard]] bool has_unmeasured_filler(const serving_image& serving,
+                                             std::span<const image_number> fillers) const;
+    [[nodiscard]] std::int64_t filler_headroom_milli(const worker_view& worker) const;
+    [[nodiscard]] double min_slack_beside(const colocation_summary& colocation,
+                                          image_number filler_image) const;
+    [[nodiscard]] double max_effect_of(const colocation_summary& colocation, image_number filler_image) const;
+    [[nodiscard]] bool may_try_unmeasured(const colocation_summary& colocation,
+                                          image_number filler_image) const;
+    [[nodiscard]] bool would_interfere(const colocation_summary& colocation, image_number filler_image) const;
 
     // ---- watching (watch.cpp)
     void watch_runs(time_point now, const jobs::store& state);
@@ -458,33 +463,33 @@
     void watch_draining(time_point now, worker_view& of, const jobs::store& state);
     void summarize(time_point now, const jobs::store& state);
 
-    // ---- what holds tasks back (held_watch.cpp)
-    void note_held_run(time_point now, const run_view& of);
-    void watch_held(time_point now, std::int64_t day_ms, const jobs::store& state);
+    // ---- report of long waits (wait_report.cpp)
+    void note_run_wait(time_point now, const run_view& run);
+    void report_waits(time_point now, std::int64_t day_ms, const jobs::store& state);
     void report_overdue_cancels(time_point now, std::int64_t day_ms, const jobs::store& state);
     void
-    take_over_orphan(time_point now, const jobs::job& of, const jobs::run_name& name, const jobs::run& run);
-    [[nodiscard]] std::size_t count_followed(const jobs::job& of) const;
-    void note_held_tasks(time_point now,
+    take_over_orphan(time_point now, const jobs::job& job, const jobs::run_name& name, const jobs::run& run);
+    [[nodiscard]] std::size_t count_tracked_runs(const jobs::job& job) const;
+    void note_task_waits(time_point now,
                          std::int64_t day_ms,
-                         const jobs::job& of,
-                         const jobs::occurrence& at,
+                         const jobs::job& job,
+                         const jobs::occurrence& occurrence,
                          std::uint32_t step,
-                         bool all_followed);
+                         bool all_tracked);
 
-    // ---- pace (pace.cpp)
-    void watch_pace(time_point now, worker_view& of);
+    // ---- pace of fillers (pace.cpp)
+    void adjust_pace(time_point now, worker_view& worker);
     [[nodiscard]] static double slack_of(const run_view& serving);
-    void note_over_target(time_point now, worker_view& of);
-    void guard_target(time_point now, worker_view& of);
-    void note_references();
-    void note_reference_of(const run_view& serving);
-    static void find_references(step_stats& of);
-    [[nodiscard]] double lost_slack_of(const run_view& serving) const;
+    void update_over_target(time_point now, worker_view& worker);
+    void enforce_target(time_point now, worker_view& worker);
+    void update_reference_slacks();
+    void collect_reference_slack(const run_view& serving);
+    static void compute_reference_slacks(step_stats& siblings);
+    [[nodiscard]] double slack_loss_of(const run_view& serving) const;
     [[nodiscard]] bool is_disturbed(const run_view& serving) const;
-    void learn_interference(const worker_view& of);
-    void set_paces(time_point now, worker_view& of, const run_view& serving);
-    void release_paces(time_point now, worker_view& of, double slack);
+    void learn_interference(const worker_view& worker);
+    void throttle_fillers(time_point now, worker_view& worker, const run_view& serving);
+    void relax_throttling(time_point now, worker_view& worker, double slack);
     void order_pace(time_point now, run_view& run, dispatch_output& out);
     void stop_unknown_runs(dispatch_output& out);
 
@@ -505,8 +510,8 @@
     std::uint64_t changes_ = 0; // of workers, as far as a placement looks at them
     std::map<jobs::task_name, std::set<fleet::worker_life>> failed_on_; // where a task has failed
     std::set<jobs::task_name> copy_wanted_;
-    std::size_t held_count_ = 0; // workers whose room is kept for urgent tasks, as of the last placement
-    std::map<step_id, full_step> full_steps_; // what found no room at the last placement
+    std::size_t reserved_worker_count_ = 0; // at the last placement, for lasting tasks that lost their worker
+    std::map<step_id, blocked_step> blocked_steps_; // steps that no worker could take at the last placement
     std::map<std::pair<jobs::job_id, std::uint32_t>, boost::intrusive_ptr<step_stats>> steps_; // by job, step
     std::map<jobs::job_id, std::int64_t> cancelled_at_ms_; // cancelled jobs with runs that may go on
     std::vector<jobs::run_ended> pending_ends_;
@@ -517,39 +522,40 @@
     std::map<std::uint64_t, round_proposal> in_flight_;
     std::uint64_t next_round_ = 1;
     std::uint64_t placements_ = 0;
-    std::size_t starts_limit_ = 0;      // of the present placement
-    std::size_t extra_starts_ = 0;      // of the present placement, for urgent steps beyond its limit
-    worker_index index_;                // of the present placement
-    std::vector<worker_view*> granted_; // workers that the present placement has given tasks to
-    std::map<image_number, std::int64_t> least_filler_milli_; // of the fillers that wait now, by image
+    std::size_t starts_limit_ = 0;      // of the current placement, for the step being placed
+    std::size_t extra_starts_ = 0;      // left in the current placement for urgent steps beyond its limit
+    worker_index index_;                // of the current placement
+    std::vector<worker_view*> granted_; // workers that the current placement has given tasks to
+    std::map<image_number, std::int64_t>
+        min_filler_cpu_milli_; // smallest need among waiting fillers, by image
     std::uint64_t placed_revision_ = ~std::uint64_t{0};
     time_point next_placement_at_{};
     time_point next_filler_placement_at_{};
-    bool considers_fillers_ = true; // of the last placement
+    bool considers_fillers_ = true; // whether the last placement placed fillers
     time_point next_watch_at_{};
     time_point next_sweep_at_{};
     time_point next_summary_at_{};
     time_point next_cleaning_at_{};
-    std::array<time_point, work_kind_count> next_explanation_at_{};
+    std::array<time_point, work_kind_count> next_wait_reason_at_{};
     time_point next_placement_report_at_{};
-    time_point next_held_report_at_{};
-    held_tasks held_; // since the last line about them
+    time_point next_wait_report_at_{};
+    longest_waits longest_waits_; // since the last report
     time_point next_forget_at_{};
     time_point next_record_at_{}; // of what was learned
     bool room_changed_ = true;
-    std::map<std::string, kept_room> kept_rooms_; // by pool
-    time_point next_short_look_at_{};
+    std::map<std::string, pool_headroom> headroom_by_pool_;
+    time_point next_demand_update_at_{};
     task_times task_times_;
-    bool ignore_set_aside_ = false; // too many workers are set aside to do without them
+    bool ignore_set_aside_ = false; // so many workers are set aside that their capacity is needed
     interference interference_;
     recent_crashes recent_crashes_;
     retry_pauses retry_pauses_;
     std::map<jobs::task_name, int> slow_moves_;         // moves as a straggler, or since it stood still
     std::map<jobs::task_name, time_point> apart_since_; // suspects that found no worker without another one
-    double calm_slack_;                                 // the least that undisturbed serving tasks had lately
+    double undisturbed_slack_; // lower envelope of the slack of serving tasks without fillers beside them
     std::vector<logging::event> events_;
     dispatch_counts counts_;
-    placement_counts window_; // since the last line about it
+    placement_counts window_; // since the last report
     stage_delays stage_delays_;
 };
 
--- a/include/plumspoke/dispatch/placement_counts.hpp
+++ b/include/plumspoke/dispatch/placement_counts.hpp
@@ -1,8 +1,8 @@
 #pragma once
 
 /// @file
-/// @brief What a leader's placements came to in a window of time, by kind of work: whether tasks waited for
-///        their turn or for a worker, and how runs ended.
+/// @brief Statistics of a leader's placements in a time window, by kind of work: whether tasks waited for the
+///        limit on starts or for a worker, and how runs ended.
 
 #include "plumspoke/jobs/model.hpp"
 #include "plumspoke/logging/event.hpp"
@@ -15,66 +15,66 @@
 namespace plumspoke::dispatch
 {
 
-/// @brief Kinds of work that wait for different room.
+/// @brief Kinds of work, which use different parts of a worker's capacity.
 enum class work_kind : std::uint8_t
 {
-    lasting,
-    brief,
-    filler,
+    lasting,    // runs until it is stopped
+    short_task, // ends by itself
+    filler,     // best effort, uses what others leave unused
 };
 inline constexpr std::size_t work_kind_count = 3;
 
-/// @brief The name, for log lines.
+/// @return the name in log lines
 [[nodiscard]] std::string_view to_string(work_kind value) noexcept;
 
-/// @brief Which kind a task is.
+/// @brief The kind of a task with these properties.
 [[nodiscard]] constexpr work_kind kind_of(bool lasting, bool filler) noexcept
 {
     if (lasting)
     {
         return work_kind::lasting;
     }
-    return filler ? work_kind::filler : work_kind::brief;
+    return filler ? work_kind::filler : work_kind::short_task;
 }
 
-/// @brief One kind of work.
+/// @brief The statistics of one kind of work.
 struct kind_counts
 {
-    // At the last placement of the window.
+    // As of the last placement of the window.
     std::int64_t steps_ready = 0;
-    std::int64_t steps_late = 0; // past their objective, worth less
+    std::int64_t steps_late = 0; // past their objective, with reduced value
     std::int64_t steps_hopeless = 0;
     std::int64_t tasks_waiting = 0;
-    // Over all placements of the window.
-    std::int64_t steps_without_turn = 0; // as many tasks were granted as a placement may
+    // Sums over all placements of the window.
+    std::int64_t steps_over_limit = 0; // the limit on starts was reached
     std::int64_t steps_without_worker = 0;
     std::int64_t granted = 0;
-    std::int64_t granted_again = 0; // not the task's first run
+    std::int64_t granted_restarts = 0; // not the task's first run
     std::int64_t granted_late = 0;
     std::int64_t granted_hopeless = 0;
     std::int64_t done = 0;
     std::int64_t failed = 0;
     std::int64_t stopped = 0;
     std::int64_t lapsed = 0;
-    std::int64_t otherwise_over = 0;
+    std::int64_t ended_otherwise = 0;
 
     void note_end(jobs::run_end how) noexcept;
 };
 
-/// @brief All kinds, over one window.
+/// @brief The statistics of all kinds over one window.
 struct placement_counts
 {
     std::array<kind_counts, work_kind_count> kinds{};
     std::int64_t placements = 0;
-    std::int64_t cut_short = 0; // placements that ended since they had granted as many tasks as they may
-    std::int64_t held_back = 0; // decisions without one: enough records were on their way already
+    std::int64_t limited = 0;  // placements that reached a limit on starts
+    std::int64_t deferred = 0; // decisions without a placement, since too many records were in flight
 
     [[nodiscard]] kind_counts& of(work_kind kind) noexcept
     {
         return kinds.at(static_cast<std::size_t>(kind));
     }
 
-    /// @brief The log line of a window.
+    /// @return the log line of the window
     [[nodiscard]] logging::event to_event() const;
 };
 
--- a/include/plumspoke/dispatch/worker_index.hpp
+++ b/include/plumspoke/dispatch/worker_index.hpp
@@ -1,14 +1,14 @@
 #pragma once
 
 /// @file
-/// @brief Which workers may take a kind of task at all, best first, for the length of one placement.
+/// @brief Index of the workers that can take a kind of task, best first, for the duration of one placement.
 ///
-/// For hundreds of steps that wait on a fleet of thousands of workers that are nearly full: not every step
-/// can ask every worker whether it fits and what runs beside it. A kind's workers are asked once for a
-/// placement; a step then looks only at those that have room for it, in the order of their points, until it
-/// has as many as it needs. What is left out has fewer points than all that is taken; workers that have
-/// changed since are asked apart. Fillers, of which there are as many kinds as images, go further: see
-/// filler_ranking.
+/// Hundreds of steps may wait on a fleet of thousands of workers that are nearly full. Checking for every
+/// step whether it fits on every worker, and what runs there, would take too long. The workers are scored
+/// once per kind of task and placement. A step then checks only those with enough free capacity, in
+/// descending order of score, until it has as many as it needs. Workers that are left out have lower scores
+/// than all that are taken. Workers that have changed since are checked separately. Fillers have a kind per
+/// image, for which even this is too much work: see filler_ranking.
 
 #include "plumspoke/dispatch/interference.hpp"
 
@@ -25,19 +25,19 @@
 
 struct worker_view;
 
-/// @brief What tasks have in common that are alike to a worker, apart from their size.
+/// @brief Tasks of one kind are scored alike on a worker, apart from their size.
 enum class task_kind : std::uint8_t
 {
-    brief,           // ends by itself and counts with all that it reserves
-    serving,         // lasts, and has a target for its users
-    filler,          // fills what others leave unused
-    starving_filler, // the same, and has waited for so long that harm elsewhere is the lesser evil
+    short_task,      // ends by itself and uses all that it reserves
+    serving,         // runs until it is stopped and has a latency target
+    filler,          // uses what others leave unused
+    starving_filler, // a filler that has waited for so long that it may interfere with serving tasks
 };
 
-/// @brief What a list of the index is for: a kind of task, by image where workers tell images apart.
+/// @brief Key of a ranking: a kind of task, and the image where scores depend on it.
 struct index_key
 {
-    task_kind kind = task_kind::brief;
+    task_kind kind = task_kind::short_task;
     image_number image = 0;
 
     bool operator<(const index_key& other) const noexcept
@@ -51,121 +51,122 @@
 {
     image_number image = 0;
     int runs = 0;
-    double least_slack = 0;
+    double min_slack = 0;
 };
 
-/// @brief What runs on a worker, as far as tasks disturb each other: made anew when the worker has changed,
-/// so
-///        that nobody walks over its runs for each image.
-struct runs_digest
+/// @brief What runs on a worker, as far as it matters for interference. Rebuilt when the worker has changed,
+///        so that its runs are not iterated over for each image.
+struct colocation_summary
 {
-    std::uint64_t changed = ~std::uint64_t{0}; // worker_view::changed then
+    std::uint64_t changed = ~std::uint64_t{0}; // worker_view::changed when this was built
     bool over_target = false;
-    bool has_slowed_filler = false;
+    bool has_throttled_filler = false;
     std::vector<serving_image> serving;
-    std::vector<image_number> fillers; // each image once
+    std::vector<image_number> fillers; // without duplicates
 };
 
-/// @brief What a kind of task is judged by on one worker.
+/// @brief Inputs of the score of one worker, for all kinds of tasks.
 struct worker_row
 {
-    worker_view* on = nullptr;
-    std::int64_t cpu_left = 0;    // to tasks that count whole
-    std::int64_t filler_left = 0; // to fillers
-    std::int64_t whole_milli = 0;
+    worker_view* worker = nullptr;
+    std::int64_t free_cpu_milli = 0;    // for tasks other than fillers
+    std::int64_t filler_free_milli = 0; // for fillers
+    std::int64_t total_milli = 0;
     std::int64_t filler_milli = 0;
-    double handicap = 0; // points that it loses for failures and as one that is set aside
+    double penalty = 0; // subtracted from the score, for failures and while the worker is set aside
     int serving_runs = 0;
-    const runs_digest* runs = nullptr;
+    const colocation_summary* colocation = nullptr;
 };
 
-/// @brief A worker's row for fillers; their points there are never more than the room that it has for them.
+/// @brief A worker's row for fillers. Its free capacity is an upper bound of the score of any filler there.
 struct filler_row
 {
-    const worker_row* of = nullptr;
-    std::int64_t room_milli = 0;
-    std::uint32_t place = 0; // among all rows
+    const worker_row* row = nullptr;
+    std::int64_t free_milli = 0;
+    std::uint32_t position = 0; // in worker_index::rows()
 };
 
-/// @brief A worker that may take a kind of task.
+/// @brief A worker that can take a kind of task.
 struct indexed_worker
 {
-    worker_view* on = nullptr;
-    double points = 0;          // without what differs by task
-    std::int64_t cpu_milli = 0; // room when the index was made; a placement only takes from it
-    std::uint32_t place = 0;    // of equal ones the first is taken
+    worker_view* worker = nullptr;
+    double score = 0;            // without what depends on the individual task
+    std::int64_t free_milli = 0; // when the index was filled; decreases only during a placement
+    std::uint32_t position = 0;  // breaks ties: the lower one is preferred
 };
 
-/// @brief Whether a worker comes after another one.
-[[nodiscard]] inline bool is_worse(const indexed_worker& left, const indexed_worker& right) noexcept
+/// @brief Whether a worker is ranked below another one.
+[[nodiscard]] inline bool ranks_below(const indexed_worker& left, const indexed_worker& right) noexcept
 {
-    return left.points < right.points || (left.points == right.points && left.place > right.place);
+    return left.score < right.score || (left.score == right.score && left.position > right.position);
 }
 
-/// @brief The workers of one kind, best first, ordered only as far as somebody asks.
+/// @brief The workers for one kind of task, best first, sorted lazily.
 class worker_ranking
 {
   public:
-    /// @brief Takes the workers in; of equal ones the first stays the first.
+    /// @brief Sets the workers. Equal ones keep their order.
     void assign(std::vector<indexed_worker> all);
 
-    /// @brief The worker at a place of the order, or null where there are not so many.
-    [[nodiscard]] const indexed_worker* at(std::size_t place);
+    /// @return the worker at a position of the ranking, or null past the end
+    [[nodiscard]] const indexed_worker* at(std::size_t position);
 
   private:
     std::vector<indexed_worker> ranked_;
-    std::vector<indexed_worker> open_; // a heap
+    std::vector<indexed_worker> heap_; // not ranked yet
 };
 
-/// @brief The workers of one kind of filler, best first, judged only as far as somebody asks.
+/// @brief The workers for one kind of filler, best first, evaluated and sorted lazily.
 ///
-/// Workers are judged in the order of their room, which bounds their points: one that has more points than
-/// the next has room is better than all that are not judged yet (as in the threshold algorithm of Fagin and
-/// others, 2001). With dozens of images that wait on thousands of workers, few of the pairs need judging.
+/// Workers are evaluated in descending order of their free capacity, which is an upper bound of their score.
+/// A worker whose score exceeds the next one's free capacity is better than all that are not evaluated yet
+/// (the threshold algorithm of Fagin et al., 2001). With dozens of images that wait on thousands of workers,
+/// only few of the pairs are evaluated.
 class filler_ranking
 {
   public:
-    /// @brief The worker at a place of the order, or null where there are not so many.
-    /// @param rows by falling room
-    /// @param judge the worker with its points, or nothing where it may not take such a filler
-    template <typename Judge>
-    [[nodiscard]] const indexed_worker* at(std::size_t place, std::span<const filler_row> rows, Judge judge)
+    /// @param rows in descending order of free capacity
+    /// @param evaluate returns the worker of a row with its score, or nothing if it can't take such a filler
+    /// @return the worker at a position of the ranking, or null past the end
+    template <typename Evaluate>
+    [[nodiscard]] const indexed_worker*
+    at(std::size_t position, std::span<const filler_row> rows, Evaluate evaluate)
     {
-        while (ranked_.size() <= place && (judged_ < rows.size() || !open_.empty()))
+        while (ranked_.size() <= position && (evaluated_ < rows.size() || !heap_.empty()))
         {
-            if (!open_.empty() && (judged_ == rows.size() || surely_next(rows[judged_])))
+            if (!heap_.empty() && (evaluated_ == rows.size() || front_beats(rows[evaluated_])))
             {
                 rank_best();
                 continue;
             }
-            const filler_row& row = rows[judged_++];
-            if (std::optional<indexed_worker> one = judge(*row.of); one.has_value())
+            const filler_row& row = rows[evaluated_++];
+            if (std::optional<indexed_worker> indexed = evaluate(*row.row); indexed.has_value())
             {
-                one->place = row.place;
-                open_.push_back(*one);
-                std::push_heap(open_.begin(), open_.end(), is_worse);
+                indexed->position = row.position;
+                heap_.push_back(*indexed);
+                std::push_heap(heap_.begin(), heap_.end(), ranks_below);
             }
         }
-        return place < ranked_.size() ? &ranked_[place] : nullptr;
+        return position < ranked_.size() ? &ranked_[position] : nullptr;
     }
 
   private:
-    [[nodiscard]] bool surely_next(const filler_row& not_judged) const noexcept
+    [[nodiscard]] bool front_beats(const filler_row& next) const noexcept
     {
-        return open_.front().points > static_cast<double>(not_judged.room_milli);
+        return heap_.front().score > static_cast<double>(next.free_milli);
     }
     void rank_best();
 
     std::vector<indexed_worker> ranked_;
-    std::vector<indexed_worker> open_; // a heap: judged, and maybe worse than one that is not judged yet
-    std::size_t judged_ = 0;           // rows
+    std::vector<indexed_worker> heap_; // evaluated, but possibly worse than one that is not evaluated yet
+    std::size_t evaluated_ = 0;        // number of rows
 };
 
-/// @brief The workers by kind of task.
+/// @brief The rankings of workers by kind of task.
 class worker_index
 {
   public:
-    /// @brief Forgets all: another placement begins.
+    /// @brief Clears the index for another placement.
     void clear() noexcept
     {
         by_kind_.clear();
@@ -174,31 +175,32 @@
         rows_.clear();
     }
 
-    /// @brief The workers that may take anything; filled once for a placement.
+    /// @brief The rows of the available workers, filled once per placement.
     [[nodiscard]] std::vector<worker_row>& rows() noexcept
     {
         return rows_;
     }
 
-    /// @brief The ranking of a kind of task that is no filler.
-    /// @param ask returns the workers; called once for each kind and placement
-    template <typename Ask> [[nodiscard]] worker_ranking& find(const index_key& what, Ask ask)
+    /// @brief The ranking for a kind of task other than a filler.
+    /// @param collect returns the workers; called once per kind and placement
+    template <typename Collect> [[nodiscard]] worker_ranking& find(const index_key& key, Collect collect)
     {
-        const auto [at, is_new] = by_kind_.try_emplace(what);
+        const auto [at, is_new] = by_kind_.try_emplace(key);
         if (is_new)
         {
-            at->second.assign(ask());
+            at->second.assign(collect());
         }
         return at->second;
     }
 
-    /// @brief The rows by falling room for fillers; rows() has been filled.
+    /// @brief The rows in descending order of free capacity for fillers.
+    /// @pre rows() is filled
     [[nodiscard]] std::span<const filler_row> filler_rows();
 
-    /// @brief The ranking of a kind of filler.
-    [[nodiscard]] filler_ranking& fillers(const index_key& what)
+    /// @brief The ranking for a kind of filler.
+    [[nodiscard]] filler_ranking& fillers(const index_key& key)
     {
-        return fillers_[what];
+        return fillers_[key];
     }
 
   private:
--- a/include/plumspoke/dispatch/worker_view.hpp
+++ b/include/plumspoke/dispatch/worker_view.hpp
@@ -36,18 +36,18 @@
 struct step_stats : boost::intrusive_ref_counter<step_stats, boost::thread_unsafe_counter>
 {
     int done = 0;
-    double mean_ms = 0;       // how long its finished tasks took
-    double longest_ms = 0;    // the longest of them
-    time_point last_end_at{}; // when the last record of an end was committed
-    double sibling_slack = 0; // what its least disturbed serving tasks have now
-    double own_slack = 0;     // what its serving tasks would have with no filler beside them
-    bool has_calm_siblings =
-        false; // some have none beside them now: both figures are measured, not estimated
-    // Of its serving tasks, while the figures above are computed: measured, without the known effects of the
-    // fillers beside them, and of those that have none beside them.
+    double mean_ms = 0;           // how long its finished tasks took
+    double longest_ms = 0;        // the longest of them
+    time_point last_end_at{};     // when the last record of an end was committed
+    double reference_slack = 0;   // current slack of its least disturbed serving tasks
+    double filler_free_slack = 0; // slack that its serving tasks would have without fillers beside them
+    bool has_undisturbed_siblings =
+        false; // some have no fillers beside them now: both values are measured, not estimated
+    // Inputs of the values above, for its serving tasks: the measured slack, the slack without the known
+    // effects of the fillers beside them, and the slack of those without fillers beside them.
     std::vector<double> slacks;
-    std::vector<double> own_slacks;
-    std::vector<double> calm_slacks;
+    std::vector<double> filler_free_slacks;
+    std::vector<double> undisturbed_slacks;
 };
 
 struct worker_view;
@@ -144,10 +144,10 @@
     time_point announced_at{};
     worker_runs runs;
     std::uint64_t changed = 0; // the dispatcher's count when last something changed that a placement looks at
-    runs_digest digest;
-    bool held = false;    // its room is kept for urgent tasks, as of the last placement
-    bool granted = false; // the present placement has given it a task
-    jobs::room used;      // without the processors of fillers
+    colocation_summary colocation;
+    bool reserved = false; // for a lasting task that lost its worker, as of the last placement
+    bool granted = false;  // the current placement has given it a task
+    jobs::room used;       // without the processors of fillers
     std::int64_t filler_cpu_milli = 0;
     std::int64_t serving_cpu_milli = 0; // reserved; what serves uses a part of it
     std::int64_t lasting_cpu_milli = 0; // reserved by lasting tasks, serving or not
--- a/src/dispatch/answers.cpp
+++ b/src/dispatch/answers.cpp
@@ -189,7 +189,7 @@
     take_finished(now, *of, before, got);
     take_running(now, sent_at, *of, got);
     find_absent(now, *of, sent_at, got);
-    watch_pace(now, *of);
+    adjust_pace(now, *of);
     note_changed(*of); // its fillers' paces
 }
 
--- a/src/dispatch/bookkeeping.cpp
+++ b/src/dispatch/bookkeeping.cpp
@@ -112,10 +112,10 @@
     on.prime_suspects += is_prime_suspect(added.evidence) ? 1 : 0;
     if (added.lasting)
     {
-        kept_room& room = kept_rooms_[on.info.service];
-        room.usable_milli -= usable_room(on);
+        pool_headroom& headroom = headroom_by_pool_[on.info.service];
+        headroom.usable_milli -= usable_headroom_milli(on);
         on.lasting_cpu_milli += added.needs.cpu_milli;
-        room.usable_milli += usable_room(on);
+        headroom.usable_milli += usable_headroom_milli(on);
     }
     added.image_id = interference_.number_of(added.image);
     added.added_at = decided_at_;
--- a/src/dispatch/candidates.cpp
+++ b/src/dispatch/candidates.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// @brief The workers that may take a step's tasks: from an index by kind of task, which a placement fills
-/// once.
+/// @brief Finds workers that can take a step's tasks, from an index by kind of task that is filled once per
+///        placement.
 
 #include "ready_step.hpp"
 
@@ -12,27 +12,27 @@
 namespace
 {
 
-// Beyond one for each task: for what suits one task of a step less than another (it failed there before, its
-// copy runs there).
+// Candidates beyond one for each task, since a worker may suit only some tasks of a step: one may have failed
+// there before, or its copy runs there.
 constexpr std::size_t spare_candidates = 32;
 
 } // namespace
 
-std::int64_t dispatcher::cpu_left(const worker_view& of, bool filler) const
+std::int64_t dispatcher::free_cpu_milli(const worker_view& worker, bool filler) const
 {
-    return filler ? spare_for_fillers(of) : of.info.room.cpu_milli - of.used.cpu_milli;
+    return filler ? filler_headroom_milli(worker) : worker.info.room.cpu_milli - worker.used.cpu_milli;
 }
 
-void dispatcher::note_least_filler(std::span<const ready_step> ready)
+void dispatcher::update_min_filler_cpu(std::span<const ready_step> ready)
 {
-    least_filler_milli_.clear();
-    for (const ready_step& what : ready)
+    min_filler_cpu_milli_.clear();
+    for (const ready_step& step : ready)
     {
-        if (what.spec->filler)
+        if (step.spec->filler)
         {
-            const std::int64_t needed = what.spec->needs.cpu_milli;
-            std::int64_t& least = least_filler_milli_.try_emplace(what.image_id, needed).first->second;
-            least = std::min(least, needed);
+            const std::int64_t needed = step.spec->needs.cpu_milli;
+            std::int64_t& smallest = min_filler_cpu_milli_.try_emplace(step.image_id, needed).first->second;
+            smallest = std::min(smallest, needed);
         }
     }
 }
@@ -44,130 +44,136 @@
     {
         return;
     }
-    for (worker_view* of : all_workers())
+    for (worker_view* worker : all_workers())
     {
-        if (is_usable(now, *of, true))
+        if (is_available(now, *worker, true))
         {
-            rows.push_back(make_row(*of));
-            rows.back().handicap += now < of->set_aside_until ? set_aside_cost : 0;
+            rows.push_back(make_row(*worker));
+            rows.back().penalty += now < worker->set_aside_until ? set_aside_cost : 0;
         }
     }
 }
 
-std::vector<indexed_worker> dispatcher::ask_workers(const index_key& what)
+std::vector<indexed_worker> dispatcher::make_indexed_workers(const index_key& key)
 {
     const std::vector<worker_row>& rows = index_.rows();
     std::vector<indexed_worker> out;
     out.reserve(rows.size());
-    for (const worker_row& of : rows)
+    for (const worker_row& row : rows)
     {
-        out.push_back({of.on, points_of(of, what), of.cpu_left});
+        out.push_back({row.worker, base_score(row, key), row.free_cpu_milli});
     }
     return out;
 }
 
-std::optional<indexed_worker> dispatcher::judge_for_filler(const worker_row& of, const index_key& what) const
+std::optional<indexed_worker> dispatcher::evaluate_for_filler(const worker_row& row,
+                                                              const index_key& key) const
 {
-    if (of.runs->over_target)
+    if (row.colocation->over_target)
     {
         return std::nullopt;
     }
-    const bool starves = what.kind == task_kind::starving_filler;
-    if (harms(*of.runs, what.image) && (!starves || has_harmful_filler(*of.runs)))
+    const bool starving = key.kind == task_kind::starving_filler;
+    if (would_interfere(*row.colocation, key.image) && (!starving || has_interfering_filler(*row.colocation)))
     {
         return std::nullopt;
     }
-    return indexed_worker{of.on, points_of(of, what), of.filler_left};
+    return indexed_worker{row.worker, base_score(row, key), row.filler_free_milli};
 }
 
-dispatcher::worker_order dispatcher::workers_for(time_point now, const ready_step& what, start_kind how)
+dispatcher::ranked_worker_lookup
+dispatcher::ranked_workers(time_point now, const ready_step& step, start_kind start)
 {
     fill_rows(now);
-    const index_key kind = key_of(what, how);
-    if (what.spec->filler)
+    const index_key key = index_key_for(step, start);
+    if (step.spec->filler)
     {
         const std::span<const filler_row> rows = index_.filler_rows();
-        const auto end = std::partition_point(rows.begin(),
-                                              rows.end(),
-                                              [least = least_filler_milli_[kind.image]](const filler_row& one)
-                                              {
-                                                  return one.room_milli >= least;
-                                              });
-        return [this, kind, rows = std::span(rows.begin(), end), &ranking = index_.fillers(kind)](
-                   std::size_t place)
+        const auto end =
+            std::partition_point(rows.begin(),
+                                 rows.end(),
+                                 [least = min_filler_cpu_milli_[key.image]](const filler_row& row)
+                                 {
+                                     return row.free_milli >= least;
+                                 });
+        return [this, key, rows = std::span(rows.begin(), end), &ranking = index_.fillers(key)](
+                   std::size_t position)
         {
-            return ranking.at(place,
+            return ranking.at(position,
                               rows,
-                              [this, &kind](const worker_row& of)
+                              [this, &key](const worker_row& row)
                               {
-                                  return judge_for_filler(of, kind);
+                                  return evaluate_for_filler(row, key);
                               });
         };
     }
-    worker_ranking& ranking = index_.find(kind,
+    worker_ranking& ranking = index_.find(key,
                                           [&]
                                           {
-                                              return ask_workers(kind);
+                                              return make_indexed_workers(key);
                                           });
-    return [&ranking](std::size_t place)
+    return [&ranking](std::size_t position)
     {
-        return ranking.at(place);
+        return ranking.at(position);
     };
 }
 
 std::vector<dispatcher::candidate> dispatcher::find_candidates(
-    time_point now, const ready_step& what, start_kind how, std::uint64_t changed_since, std::size_t wanted)
+    time_point now, const ready_step& step, start_kind start, std::uint64_t changed_since, std::size_t wanted)
 {
     std::vector<candidate> found;
-    const std::int64_t needed = what.spec->needs.cpu_milli;
-    const auto take = [&](worker_view& of)
+    const std::int64_t needed = step.spec->needs.cpu_milli;
+    const auto take = [&](worker_view& worker)
     {
-        if (of.changed > changed_since && may_take(now, of, what, how) == fitness::fits)
+        if (worker.changed > changed_since &&
+            check_eligibility(now, worker, step, start) == eligibility::eligible)
         {
-            found.push_back({&of, score(of, what, how)});
+            found.push_back({&worker, score_worker(worker, step, start)});
         }
     };
-    // Their points have changed since the index was made.
-    for (worker_view* of : granted_)
+    // The scores of these workers have changed since the index was filled.
+    for (worker_view* worker : granted_)
     {
-        if (cpu_left(*of, what.spec->filler) >= needed)
+        if (free_cpu_milli(*worker, step.spec->filler) >= needed)
         {
-            take(*of);
+            take(*worker);
         }
     }
-    const worker_order worker_at = workers_for(now, what, how);
-    const auto take_best = [&](bool wrong_rack)
+    const ranked_worker_lookup worker_at = ranked_workers(now, step, start);
+    const auto take_best = [&](bool off_data_rack)
     {
         const std::size_t enough = found.size() + wanted + spare_candidates;
-        for (std::size_t place = 0; found.size() < enough; ++place)
+        for (std::size_t position = 0; found.size() < enough; ++position)
         {
-            const indexed_worker* one = worker_at(place);
-            if (one == nullptr)
+            const indexed_worker* indexed = worker_at(position);
+            if (indexed == nullptr)
             {
                 return;
             }
-            if (one->cpu_milli >= needed && is_wrong_rack(*one->on, what) == wrong_rack && !one->on->granted)
+            if (indexed->free_milli >= needed && is_off_data_rack(*indexed->worker, step) == off_data_rack &&
+                !indexed->worker->granted)
             {
-                take(*one->on);
+                take(*indexed->worker);
             }
         }
     };
     take_best(false);
-    if (!what.spec->data_rack.empty())
+    if (!step.spec->data_rack.empty())
     {
         take_best(true);
     }
     return found;
 }
 
-std::vector<dispatcher::candidate> dispatcher::ask_all(time_point now, const ready_step& what, start_kind how)
+std::vector<dispatcher::candidate>
+dispatcher::scan_all_workers(time_point now, const ready_step& step, start_kind start)
 {
     std::vector<candidate> found;
-    for (worker_view* of : all_workers())
+    for (worker_view* worker : all_workers())
     {
-        if (may_take(now, *of, what, how) == fitness::fits)
+        if (check_eligibility(now, *worker, step, start) == eligibility::eligible)
         {
-            found.push_back({of, score(*of, what, how)});
+            found.push_back({worker, score_worker(*worker, step, start)});
         }
     }
     return found;
--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -25,7 +25,8 @@
 
 // ---- construction ------------------------------------------------------------------------------
 
-dispatcher::dispatcher(dispatch_options options) : options_(options), calm_slack_(unseen_calm_slack)
+dispatcher::dispatcher(dispatch_options options)
+    : options_(options), undisturbed_slack_(default_undisturbed_slack)
 {
 }
 
@@ -42,7 +43,7 @@
     term_ = term;
     leading_since_ = now;
     decided_at_ = now;
-    interference_.take_over(state.learned());
+    interference_.adopt_recorded(state.learned());
     for (const auto& [id, job] : state.all())
     {
         if (jobs::is_final(job.phase) && !state.leftover().contains(id))
@@ -208,7 +209,7 @@
         watch_workers(now, state);
         expire_workers(now);
         summarize(now, state);
-        watch_held(now, day_ms, state);
+        report_waits(now, day_ms, state);
     }
     tend_workers(now, out);
     propose(day_ms, state, now, out);
--- a/src/dispatch/interference.cpp
+++ b/src/dispatch/interference.cpp
@@ -9,21 +9,23 @@
 namespace
 {
 
-// Steps of the fit: half of an error at first, a tenth once ten reports are known.
-constexpr double first_step = 0.5;
-constexpr double least_step = 0.1;
-constexpr double reports_until_least = 10;
-// Downwards so much slower: what is put on a worker wrongly costs four times what is kept from it.
-constexpr double downward_share = 0.5;
-// A pair that was never seen counts as mildly harmful: it is tried where there is slack.
-constexpr double unknown_effect = 0.4;
-constexpr double unknown_weight = 0.7; // reports that it takes to outweigh that
-constexpr double highest_effect = 4;   // all the slack that a serving task ever has
-// Worth a record: a tenth of what a filler takes where it harms little, or as much evidence again.
-constexpr double news_effect = 0.05;
-constexpr double news_weight_factor = 2;
+// Step sizes of the fit: half of the error at first, decreasing to a tenth over the first ten reports.
+constexpr double initial_step = 0.5;
+constexpr double min_step = 0.1;
+constexpr double reports_until_min_step = 10;
+// Estimates decrease more slowly than they increase, since a wrongly placed filler costs four times as much
+// as one that is wrongly kept off a worker.
+constexpr double decrease_factor = 0.5;
+// An unmeasured pair counts as mildly harmful, so it is tried where there is slack.
+constexpr double prior_effect = 0.4;
+constexpr double prior_evidence = 0.7; // reports that weigh as much as the prior
+constexpr double max_effect = 4;       // the largest slack of a serving task
+// A pair is recorded again once its effect has changed by this much, a tenth of a mildly harmful one, or its
+// evidence has grown by this factor.
+constexpr double recorded_effect_change = 0.05;
+constexpr double recorded_evidence_factor = 2;
 constexpr double milli = 1000;
-constexpr double least_power = 0.01; // of paces: below it nothing that counts was there
+constexpr double min_power = 0.01; // sum of squared paces below which a report says nothing about fillers
 
 } // namespace
 
@@ -53,40 +55,41 @@
 
 interference::estimate& interference::at(image_number serving, image_number filler)
 {
-    const bool met = serving < by_number_.size() && filler < by_number_[serving].size();
-    estimate* known = met ? by_number_[serving][filler] : nullptr;
-    return known == nullptr ? at(*names_.at(serving), *names_.at(filler)) : *known;
+    const bool is_known = serving < by_number_.size() && filler < by_number_[serving].size();
+    estimate* entry = is_known ? by_number_[serving][filler] : nullptr;
+    return entry == nullptr ? at(*names_.at(serving), *names_.at(filler)) : *entry;
 }
 
 void interference::observe(image_number serving,
-                           double lost_slack,
+                           double slack_loss,
                            bool saturated,
-                           std::span<const filler_beside> beside)
+                           std::span<const colocated_filler> colocated)
 {
     double predicted = 0;
     double power = 0;
-    for (const filler_beside& one : beside)
+    for (const colocated_filler& filler : colocated)
     {
-        predicted += at(serving, one.image).effect * one.pace;
-        power += one.pace * one.pace;
+        predicted += at(serving, filler.image).effect * filler.pace;
+        power += filler.pace * filler.pace;
     }
-    if (power < least_power)
+    if (power < min_power)
     {
         return;
     }
-    const double error = lost_slack - predicted;
+    const double error = slack_loss - predicted;
     if (saturated && error < 0)
     {
-        return; // the pressure is at least what was seen
+        return; // a saturated report is only a lower bound of the lost slack
     }
-    for (const filler_beside& one : beside)
+    for (const colocated_filler& filler : colocated)
     {
-        estimate& of = at(serving, one.image);
-        const double known = std::min(of.weight / reports_until_least, 1.0);
-        const double step = first_step + (least_step - first_step) * known;
-        const double direction = error > 0 ? 1 : downward_share;
-        of.effect = std::clamp(of.effect + direction * step * error * one.pace / power, 0.0, highest_effect);
-        of.weight += one.pace / static_cast<double>(beside.size());
+        estimate& pair = at(serving, filler.image);
+        const double confidence = std::min(pair.weight / reports_until_min_step, 1.0);
+        const double step = initial_step + (min_step - initial_step) * confidence;
+        const double direction = error > 0 ? 1 : decrease_factor;
+        pair.effect =
+            std::clamp(pair.effect + direction * step * error * filler.pace / power, 0.0, max_effect);
+        pair.weight += filler.pace / static_cast<double>(colocated.size());
     }
 }
 
@@ -103,8 +106,8 @@
 
 const interference::estimate* interference::find(image_number serving, image_number filler) const noexcept
 {
-    const bool met = serving < by_number_.size() && filler < by_number_[serving].size();
-    return met ? by_number_[serving][filler] : nullptr;
+    const bool is_known = serving < by_number_.size() && filler < by_number_[serving].size();
+    return is_known ? by_number_[serving][filler] : nullptr;
 }
 
 double interference::effect(const std::string& serving, const std::string& filler) const
@@ -117,34 +120,35 @@
     return effect_of(find(serving, filler));
 }
 
-double interference::effect_of(const estimate* known) noexcept
+double interference::effect_of(const estimate* pair) noexcept
 {
-    if (known == nullptr)
+    if (pair == nullptr)
     {
-        return unknown_effect;
+        return prior_effect;
     }
-    const double share = known->weight / (known->weight + unknown_weight);
-    return std::max(known->effect, share * known->effect + (1 - share) * unknown_effect);
+    const double evidence_share = pair->weight / (pair->weight + prior_evidence);
+    return std::max(pair->effect, evidence_share * pair->effect + (1 - evidence_share) * prior_effect);
 }
 
-bool interference::estimate::is_news() const noexcept
+bool interference::estimate::needs_record() const noexcept
 {
-    return weight > news_weight_factor * recorded_weight || std::abs(effect - recorded_effect) > news_effect;
+    return weight > recorded_evidence_factor * recorded_weight ||
+           std::abs(effect - recorded_effect) > recorded_effect_change;
 }
 
-void interference::take_over(const std::map<jobs::image_pair, jobs::learned_effect>& recorded)
+void interference::adopt_recorded(const std::map<jobs::image_pair, jobs::learned_effect>& recorded)
 {
-    for (const auto& [images, one] : recorded)
+    for (const auto& [images, recorded_pair] : recorded)
     {
-        estimate of;
-        of.effect = static_cast<double>(one.effect_milli) / milli;
-        of.weight = static_cast<double>(one.evidence_milli) / milli;
-        of.recorded_effect = of.effect;
-        of.recorded_weight = of.weight;
+        estimate adopted;
+        adopted.effect = static_cast<double>(recorded_pair.effect_milli) / milli;
+        adopted.weight = static_cast<double>(recorded_pair.evidence_milli) / milli;
+        adopted.recorded_effect = adopted.effect;
+        adopted.recorded_weight = adopted.weight;
         estimate& present = at(images.serving, images.filler);
         if (present.weight == 0)
         {
-            present = of;
+            present = adopted;
         }
     }
 }
@@ -152,19 +156,19 @@
 std::vector<jobs::learned_effect> interference::take_changed()
 {
     std::vector<jobs::learned_effect> changed;
-    for (auto& [serving, known] : images_)
+    for (auto& [serving, pairs] : images_)
     {
-        for (auto& [filler, of] : known)
+        for (auto& [filler, pair] : pairs)
         {
-            if (!of.is_news())
+            if (!pair.needs_record())
             {
                 continue;
             }
-            of.recorded_effect = of.effect;
-            of.recorded_weight = of.weight;
+            pair.recorded_effect = pair.effect;
+            pair.recorded_weight = pair.weight;
             changed.push_back({{serving, filler},
-                               static_cast<std::int64_t>(of.effect * milli),
-                               static_cast<std::int64_t>(of.weight * milli)});
+                               static_cast<std::int64_t>(pair.effect * milli),
+                               static_cast<std::int64_t>(pair.weight * milli)});
         }
     }
     return changed;
@@ -172,14 +176,14 @@
 
 double interference::evidence(const std::string& serving, const std::string& filler) const
 {
-    const estimate* known = find(serving, filler);
-    return known == nullptr ? 0 : known->weight;
+    const estimate* pair = find(serving, filler);
+    return pair == nullptr ? 0 : pair->weight;
 }
 
 double interference::evidence(image_number serving, image_number filler) const noexcept
 {
-    const estimate* known = find(serving, filler);
-    return known == nullptr ? 0 : known->weight;
+    const estimate* pair = find(serving, filler);
+    return pair == nullptr ? 0 : pair->weight;
 }
 
 } // namespace plumspoke::dispatch
--- a/src/dispatch/pace.cpp
+++ b/src/dispatch/pace.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Fillers that disturb what serves: how far they are slowed, and what is learned from it.
+/// @brief Throttles fillers that interfere with serving tasks, and learns from the reports how much they do.
 
 #include "pace_limits.hpp"
 #include "plumspoke/dispatch/dispatcher.hpp"
@@ -14,48 +14,49 @@
 namespace
 {
 
-// Slack is target / tail: 1 is a tail at its target. Reports of undisturbed tasks differ by 0.2.
-constexpr double disturbed_slack = 0.25;
-// Below this own load alone holds a tail at its target, within what reports differ by: slowing fillers helps
-// nobody then.
-constexpr double own_slack_at_target = 0.8;
-// The least calm slack follows a smaller one within some ten reports and rises within a thousand: peaks of
-// own load come each quarter of a minute.
-constexpr double calm_slack_fall = 0.1;
-constexpr double calm_slack_rise = 0.001;
-constexpr double least_slack = 1.2; // below it fillers are slowed
-// A serving task over its target for so long: all fillers beside it stand still; then they are stopped.
-// The users call it harm after 4 s (impact_ms, or more); a report may be a second old.
+// Slack is target / tail latency: 1 is a tail at its target. Reports of undisturbed tasks differ by 0.2.
+constexpr double disturbance_threshold = 0.25;
+// Below this a task's own load alone brings its tail to the target, within the variation of reports.
+// Throttling fillers doesn't help then.
+constexpr double own_load_slack_limit = 0.8;
+// Smoothing factors of the lower envelope of undisturbed slack: it follows a smaller value within about ten
+// reports and rises within a thousand, since peaks of a task's own load recur every 15 seconds.
+constexpr double undisturbed_slack_fall = 0.1;
+constexpr double undisturbed_slack_rise = 0.001;
+constexpr double throttle_slack = 1.2; // below it fillers are throttled
+// How long a serving task may be over its target before all fillers beside it are paused, and then stopped.
+// Users count it as harm after 4 s (impact_ms) or more, and a report may be a second old.
 constexpr auto over_target_pause = milliseconds(1900);
 constexpr auto over_target_stop = milliseconds(2900);
-// A figure is rough: one that is a little under the target doesn't end a time over it.
+// Measurements are noisy: a tail slightly under the target doesn't end a period over it.
 constexpr double recovered_slack = 1.15;
-constexpr double stop_slack = 0.7;      // below it the pressure is more than is known: fillers stand still
-constexpr double report_span_s = 0.6;   // a report's half second and the time until a pace is in force
-constexpr double wanted_slack = 1.4;    // what a slowing aims at; load may take 0.3 a second
-constexpr double saturated_slack = 0.2; // a tail five times its target tells little of the pressure
-constexpr std::uint32_t least_pace = 5; // percent; below this a task only holds its memory
-constexpr double enough_evidence = 3;   // reports
-// A report covers the last half second: a pace is judged by reports from after it took effect.
-constexpr auto pace_settle = milliseconds(700);
+constexpr double full_throttle_slack =
+    0.7;                                // below it the pressure exceeds the known effects: fillers are paused
+constexpr double report_window_s = 0.6; // a report's half second and the time until a pace is in force
+constexpr double target_slack = 1.4;    // what throttling aims at; own load may take 0.3 within a second
+constexpr double saturated_slack = 0.2; // a tail of five times its target hardly depends on the pressure
+constexpr std::uint32_t min_pace = 5;   // percent; a slower task does little more than hold its memory
+constexpr double min_evidence = 3;      // reports
+// A report covers the last half second: a pace is judged only by reports measured after it took effect.
+constexpr auto pace_settle_time = milliseconds(700);
 
 } // namespace
 
-void dispatcher::watch_pace(time_point now, worker_view& of)
+void dispatcher::adjust_pace(time_point now, worker_view& worker)
 {
-    if (of.serving_runs == 0)
+    if (worker.serving_runs == 0)
     {
         return;
     }
-    learn_interference(of);
-    note_over_target(now, of);
-    const bool settled = now >= of.pace_changed_at + pace_settle;
-    if (of.filler_cpu_milli == 0 || !settled || !is_on(mechanism::pace))
+    learn_interference(worker);
+    update_over_target(now, worker);
+    const bool settled = now >= worker.pace_changed_at + pace_settle_time;
+    if (worker.filler_cpu_milli == 0 || !settled || !is_on(mechanism::pace))
     {
         return;
     }
     const run_view* tightest = nullptr;
-    for (const run_view& run : of.runs)
+    for (const run_view& run : worker.runs)
     {
         const bool disturbed = run.serving && is_disturbed(run);
         if (disturbed && (tightest == nullptr || slack_of(run) < slack_of(*tightest)))
@@ -65,30 +66,30 @@
     }
     if (tightest == nullptr)
     {
-        release_paces(now, of, most_slack);
+        relax_throttling(now, worker, max_slack);
     }
-    else if (slack_of(*tightest) < least_slack)
+    else if (slack_of(*tightest) < throttle_slack)
     {
-        set_paces(now, of, *tightest);
+        throttle_fillers(now, worker, *tightest);
     }
     else
     {
-        release_paces(now, of, slack_of(*tightest));
+        relax_throttling(now, worker, slack_of(*tightest));
     }
 }
 
 double dispatcher::slack_of(const run_view& serving)
 {
-    if (serving.percent < whole_percent || serving.measured <= 0)
+    if (serving.percent < full_percent || serving.measured <= 0)
     {
-        return most_slack;
+        return max_slack;
     }
     return static_cast<double>(serving.tail_target_ms) / static_cast<double>(serving.measured);
 }
 
-void dispatcher::note_over_target(time_point now, worker_view& of)
+void dispatcher::update_over_target(time_point now, worker_view& worker)
 {
-    for (run_view& run : of.runs)
+    for (run_view& run : worker.runs)
     {
         const double slack = slack_of(run);
         if (!run.serving || slack >= recovered_slack)
@@ -102,10 +103,10 @@
     }
 }
 
-void dispatcher::guard_target(time_point now, worker_view& of)
+void dispatcher::enforce_target(time_point now, worker_view& worker)
 {
     std::optional<time_point> since;
-    for (const run_view& run : of.runs)
+    for (const run_view& run : worker.runs)
     {
         if (run.over_target_since.has_value())
         {
@@ -116,15 +117,15 @@
     {
         return;
     }
-    for (run_view& run : of.runs)
+    for (run_view& run : worker.runs)
     {
         if (!run.filler || run.stage == run_stage::proposed || run.stage == run_stage::ending)
         {
             continue;
         }
-        run.wanted_pace = 0; // whatever is known of its image
+        run.wanted_pace = 0; // regardless of the learned effects of its image
         attend(run);
-        of.pace_changed_at = now;
+        worker.pace_changed_at = now;
         if (now > *since + over_target_stop && !run.stop_wanted)
         {
             ++counts_.moved_pace;
@@ -136,79 +137,84 @@
     }
 }
 
-// Else the own load of busy serving tasks is taken for the effect of the fillers beside them, and nothing is
-// placed there any more.
-void dispatcher::note_references()
+// Without references the own load of busy serving tasks would be attributed to the fillers beside them, and
+// no more fillers would be placed there.
+void dispatcher::update_reference_slacks()
 {
     for (auto& [name, run] : runs_)
     {
-        if (run.serving && run.percent >= whole_percent && run.measured > 0)
+        if (run.serving && run.percent >= full_percent && run.measured > 0)
         {
-            note_reference_of(run);
+            collect_reference_slack(run);
         }
     }
-    for (auto& [key, siblings] : steps_)
+    for (auto& [key, stats] : steps_)
     {
-        find_references(*siblings);
+        compute_reference_slacks(*stats);
     }
 }
 
-void dispatcher::note_reference_of(const run_view& serving)
+void dispatcher::collect_reference_slack(const run_view& serving)
 {
     const double slack = slack_of(serving);
-    double taken = 0; // also by several fillers of which each is harmless
-    bool calm = true; // with none at all: an effect that is not known well enough would confirm itself
+    double known_effects = 0; // includes fillers that are harmless on their own
+    bool undisturbed = true;  // no filler at all: counting known effects here would confirm wrong estimates
     for (const run_view& run : serving.on->runs)
     {
         if (run.filler && run.pace_percent > 0)
         {
-            calm = false;
-            taken += interference_.effect(serving.image_id, run.image_id) * run.pace_percent / whole_percent;
+            undisturbed = false;
+            known_effects +=
+                interference_.effect(serving.image_id, run.image_id) * run.pace_percent / full_percent;
         }
     }
     step_stats& siblings = *serving.siblings;
     siblings.slacks.push_back(slack);
-    siblings.own_slacks.push_back(std::min(slack + taken, most_slack));
-    if (calm)
+    siblings.filler_free_slacks.push_back(std::min(slack + known_effects, max_slack));
+    if (undisturbed)
     {
-        siblings.calm_slacks.push_back(slack);
-        calm_slack_ += (slack < calm_slack_ ? calm_slack_fall : calm_slack_rise) * (slack - calm_slack_);
+        siblings.undisturbed_slacks.push_back(slack);
+        undisturbed_slack_ += (slack < undisturbed_slack_ ? undisturbed_slack_fall : undisturbed_slack_rise) *
+                              (slack - undisturbed_slack_);
     }
 }
 
-void dispatcher::find_references(step_stats& of)
+void dispatcher::compute_reference_slacks(step_stats& siblings)
 {
-    // The value that this share of them is above; 0 where there are none.
-    const auto upper = [](std::vector<double>& all, std::size_t one_in)
+    // The value that one in `one_in` values exceeds; 0 if there are none.
+    const auto upper_quantile = [](std::vector<double>& values, std::size_t one_in)
     {
-        if (all.empty())
+        if (values.empty())
         {
             return 0.0;
         }
-        const auto at = all.begin() + static_cast<std::ptrdiff_t>(all.size() / one_in);
-        std::nth_element(all.begin(), at, all.end(), std::greater<>());
+        const auto at = values.begin() + static_cast<std::ptrdiff_t>(values.size() / one_in);
+        std::nth_element(values.begin(), at, values.end(), std::greater<>());
         return *at;
     };
-    of.has_calm_siblings = !of.calm_slacks.empty();
-    const double calm = upper(of.calm_slacks, 2);
-    // Else the upper quarter: up to three of four may be disturbed.
-    of.sibling_slack = of.has_calm_siblings ? calm : upper(of.slacks, 4);
-    of.own_slack = of.has_calm_siblings ? calm : upper(of.own_slacks, 4);
-    of.slacks.clear();
-    of.own_slacks.clear();
-    of.calm_slacks.clear();
+    siblings.has_undisturbed_siblings = !siblings.undisturbed_slacks.empty();
+    const double undisturbed = upper_quantile(siblings.undisturbed_slacks, 2);
+    // Without undisturbed siblings the upper quartile: up to three quarters may be disturbed.
+    siblings.reference_slack =
+        siblings.has_undisturbed_siblings ? undisturbed : upper_quantile(siblings.slacks, 4);
+    siblings.filler_free_slack =
+        siblings.has_undisturbed_siblings ? undisturbed : upper_quantile(siblings.filler_free_slacks, 4);
+    siblings.slacks.clear();
+    siblings.filler_free_slacks.clear();
+    siblings.undisturbed_slacks.clear();
 }
 
-double dispatcher::lost_slack_of(const run_view& serving) const
+double dispatcher::slack_loss_of(const run_view& serving) const
 {
     const step_stats& siblings = *serving.siblings;
     if (!is_on(mechanism::undisturbed_reference))
     {
-        return std::max(siblings.sibling_slack, unseen_calm_slack) - slack_of(serving);
+        return std::max(siblings.reference_slack, default_undisturbed_slack) - slack_of(serving);
     }
-    // Own load alone leaves so much at its peak: siblings with less are disturbed themselves.
-    const double reference =
-        siblings.has_calm_siblings ? siblings.sibling_slack : std::max(siblings.sibling_slack, calm_slack_);
+    // Own load leaves at least this much at its peak: siblings with less slack are disturbed themselves.
+    const double reference = siblings.has_undisturbed_siblings
+                                 ? siblings.reference_slack
+                                 : std::max(siblings.reference_slack, undisturbed_slack_);
     return reference - slack_of(serving);
 }
 
@@ -217,22 +223,22 @@
     const double slack = slack_of(serving);
     if (!is_on(mechanism::undisturbed_reference))
     {
-        return lost_slack_of(serving) > disturbed_slack;
+        return slack_loss_of(serving) > disturbance_threshold;
     }
     const step_stats& siblings = *serving.siblings;
-    // Only siblings that nothing disturbs tell for sure that own load alone holds it at its target.
-    if (siblings.has_calm_siblings && siblings.own_slack < own_slack_at_target)
+    // Only undisturbed siblings show for certain that own load alone brings the tail to its target.
+    if (siblings.has_undisturbed_siblings && siblings.filler_free_slack < own_load_slack_limit)
     {
         return false;
     }
-    // Near the target even a little is too much.
-    return siblings.own_slack - slack > disturbed_slack || slack < 1;
+    // A task over its target counts as disturbed whatever slack its siblings have.
+    return siblings.filler_free_slack - slack > disturbance_threshold || slack < 1;
 }
 
-void dispatcher::learn_interference(const worker_view& of)
+void dispatcher::learn_interference(const worker_view& worker)
 {
-    std::vector<filler_beside> beside;
-    for (const run_view& run : of.runs)
+    std::vector<colocated_filler> colocated;
+    for (const run_view& run : worker.runs)
     {
         if (!run.filler || run.stage != run_stage::running)
         {
@@ -240,85 +246,87 @@
         }
         if (run.pace_unknown)
         {
-            return; // what presses here can't be told yet
+            return; // the load of this filler is not known yet
         }
-        // A report covers half a second: a filler that has just come accounts for a part of it.
+        // A report covers half a second: a filler that has just started affects only part of it.
         const double age = std::chrono::duration<double>(run.confirmed_at - run.started_at).count();
-        const double present = std::clamp(age / report_span_s, 0.0, 1.0);
-        beside.push_back({run.image_id, present * static_cast<double>(run.pace_percent) / whole_percent});
+        const double present = std::clamp(age / report_window_s, 0.0, 1.0);
+        colocated.push_back({run.image_id, present * static_cast<double>(run.pace_percent) / full_percent});
     }
     std::vector<image_number> seen;
-    for (const run_view& run : of.runs)
+    for (const run_view& run : worker.runs)
     {
-        // Tasks of one image suffer alike here: one report for each is enough.
-        const bool measured = run.serving && run.percent >= whole_percent && run.measured > 0;
+        // Tasks of one image on one worker are affected alike: one report per image is enough.
+        const bool measured = run.serving && run.percent >= full_percent && run.measured > 0;
         if (measured && std::find(seen.begin(), seen.end(), run.image_id) == seen.end())
         {
             seen.push_back(run.image_id);
-            interference_.observe(run.image_id, lost_slack_of(run), slack_of(run) < saturated_slack, beside);
+            interference_.observe(
+                run.image_id, slack_loss_of(run), slack_of(run) < saturated_slack, colocated);
         }
     }
 }
 
-void dispatcher::set_paces(time_point now, worker_view& of, const run_view& serving)
+void dispatcher::throttle_fillers(time_point now, worker_view& worker, const run_view& serving)
 {
-    double sum = 0; // of effects at the present pace
-    for (const run_view& run : of.runs)
+    double total_effect = 0; // at the current paces
+    for (const run_view& run : worker.runs)
     {
-        sum += run.filler
-                   ? interference_.effect(serving.image_id, run.image_id) * run.pace_percent / whole_percent
-                   : 0;
+        total_effect += run.filler ? interference_.effect(serving.image_id, run.image_id) * run.pace_percent /
+                                         full_percent
+                                   : 0;
     }
-    const double missing = wanted_slack - slack_of(serving);
-    const bool known = sum > 0 && slack_of(serving) > stop_slack;
-    const double scale = known ? std::clamp(1 - missing / sum, 0.0, 1.0) : 0;
-    for (run_view& run : of.runs)
+    const double missing_slack = target_slack - slack_of(serving);
+    const bool is_effect_known = total_effect > 0 && slack_of(serving) > full_throttle_slack;
+    const double scale = is_effect_known ? std::clamp(1 - missing_slack / total_effect, 0.0, 1.0) : 0;
+    for (run_view& run : worker.runs)
     {
-        const bool known_harmless =
+        const bool is_harmless =
             interference_.effect(serving.image_id, run.image_id) < options_.harmless_effect &&
-            interference_.evidence(serving.image_id, run.image_id) > enough_evidence;
-        if (!run.filler || run.stage != run_stage::running || known_harmless)
+            interference_.evidence(serving.image_id, run.image_id) > min_evidence;
+        if (!run.filler || run.stage != run_stage::running || is_harmless)
         {
             continue;
         }
         const auto pace = static_cast<std::uint32_t>(scale * static_cast<double>(run.pace_percent));
-        if (run.wanted_pace >= moved_pace)
+        if (run.wanted_pace >= relocation_pace)
         {
             run.paced_since = now;
         }
-        run.wanted_pace = pace < least_pace ? 0 : pace;
+        run.wanted_pace = pace < min_pace ? 0 : pace;
         attend(run);
-        of.pace_changed_at = now;
+        worker.pace_changed_at = now;
     }
 }
 
-void dispatcher::release_paces(time_point now, worker_view& of, double slack)
+void dispatcher::relax_throttling(time_point now, worker_view& worker, double slack)
 {
-    double free = slack - wanted_slack;
-    refresh_digest(of);
-    for (run_view& run : of.runs)
+    double spare_slack = slack - target_slack;
+    refresh_colocation(worker);
+    for (run_view& run : worker.runs)
     {
-        if (!run.filler || run.stage != run_stage::running || run.wanted_pace >= whole_percent)
+        if (!run.filler || run.stage != run_stage::running || run.wanted_pace >= full_percent)
         {
             continue;
         }
-        const double worst = worst_effect(of.digest, run.image_id);
-        const auto left = static_cast<double>(whole_percent - run.wanted_pace) / whole_percent;
-        const double step = worst <= 0 ? left : std::clamp(free / worst, 0.0, left);
-        free -= step * worst;
-        const auto percent = static_cast<std::uint32_t>(step * whole_percent);
-        if (percent >= least_pace)
+        const double largest_effect = max_effect_of(worker.colocation, run.image_id);
+        const auto max_step = static_cast<double>(full_percent - run.wanted_pace) / full_percent;
+        const double step =
+            largest_effect <= 0 ? max_step : std::clamp(spare_slack / largest_effect, 0.0, max_step);
+        spare_slack -= step * largest_effect;
+        const auto percent = static_cast<std::uint32_t>(step * full_percent);
+        if (percent >= min_pace)
         {
             run.wanted_pace += percent;
             attend(run);
-            of.pace_changed_at = now;
+            worker.pace_changed_at = now;
         }
     }
 }
 
 void dispatcher::order_pace(time_point now, run_view& run, dispatch_output& out)
 {
-    // A worker that refuses gets a pause: other orders to it would wait behind the repetitions.
+    // Retries to a worker that refuses are delayed: other orders to it would queue behind them.
     const bool differs = run.pace_unknown || run.wanted_pace != run.pace_percent;
     const bool due =
         run.stage == run_stage::running && differs && !run.stop_wanted && now >= run.next_pace_at;
@@ -339,10 +347,10 @@
 {
     for (const auto& [worker, name] : std::exchange(unknown_runs_, {}))
     {
-        if (const worker_view* on = find_worker(worker); on != nullptr)
+        if (const worker_view* view = find_worker(worker); view != nullptr)
         {
             ++counts_.stops_ordered;
-            out.orders.emplace_back(stop_order{recipient_of(*on), term_, name});
+            out.orders.emplace_back(stop_order{recipient_of(*view), term_, name});
         }
     }
 }
--- a/src/dispatch/placement.cpp
+++ b/src/dispatch/placement.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Which tasks are granted in a round.
+/// @brief Decides which waiting tasks start in a round and on which workers.
 
 #include "plumspoke/metrics/thread_meter.hpp"
 #include "ready_step.hpp"
@@ -14,28 +14,29 @@
 namespace
 {
 
-constexpr std::size_t max_copies = 2; // as the store allows
-// Starts of a decision beyond its limit, for jobs that have had nothing running for long.
+constexpr std::size_t max_copies = 2; // the store accepts no more
+// Starts beyond a decision's limit, for jobs that have had no task running for long.
 constexpr std::size_t extra_urgent_starts = 4;
 constexpr std::size_t min_filler_share_divisor = 4;
-// A step that found no room asks only workers that have changed since, and all of them again after this: for
-// what changes with time alone (a pause after a refusal of 150 ms, a worker that was set aside for seconds).
-constexpr auto whole_look_interval = milliseconds(200);
-constexpr auto report_interval = seconds(1); // as the loop's own line
+// A blocked step checks only workers that have changed since, and all of them at this interval: some
+// conditions expire without a change, such as the pause of 150 ms after a rejected start or the seconds for
+// which a worker is set aside.
+constexpr auto full_rescan_interval = milliseconds(200);
+constexpr auto report_interval = seconds(1); // matches the interval of the control loop's own report
 
 } // namespace
 
 void dispatcher::begin_placement(time_point now)
 {
-    note_set_aside_share(now);
+    update_set_aside_limit(now);
     ++placements_;
-    held_count_ = 0;
+    reserved_worker_count_ = 0;
     index_.clear();
     granted_.clear();
-    for (worker_view* of : all_workers())
+    for (worker_view* worker : all_workers())
     {
-        of->held = false;
-        of->granted = false;
+        worker->reserved = false;
+        worker->granted = false;
     }
     considers_fillers_ = now >= next_filler_placement_at_;
     extra_starts_ = extra_urgent_starts;
@@ -46,96 +47,101 @@
     const metrics::measured_part placing(metrics::loop_part::place);
     begin_placement(now);
     const std::vector<ready_step> ready = find_ready(day_ms, state);
-    const std::size_t all = std::min(options_.max_starts_per_round, strain_.starts_allowed());
-    const std::array<std::size_t, work_kind_count> limits = limit_starts(all, ready);
-    note_least_filler(ready);
-    watch_short_tasks(now, ready);
-    bool all_asked = true;
+    const std::size_t max_starts = std::min(options_.max_starts_per_round, strain_.starts_allowed());
+    const std::array<std::size_t, work_kind_count> limits = compute_start_limits(max_starts, ready);
+    update_min_filler_cpu(ready);
+    update_short_task_demand(now, ready);
+    bool all_within_limits = true;
     std::vector<const ready_step*> limited_lasting;
-    // What short tasks leave of their part goes to lasting ones before fillers.
+    // Starts that short tasks leave unused go to lasting tasks before fillers.
     const auto place_limited_lasting = [&]
     {
-        for (const ready_step* what : std::exchange(limited_lasting, {}))
+        for (const ready_step* step : std::exchange(limited_lasting, {}))
         {
-            all_asked = place_in_turn(now, *what, {all, all}, into) && all_asked;
+            all_within_limits =
+                place_within_limits(now, *step, {max_starts, max_starts}, into) && all_within_limits;
         }
     };
-    for (const ready_step& what : ready)
+    for (const ready_step& step : ready)
     {
-        const std::size_t limit = limits.at(static_cast<std::size_t>(what.kind()));
-        if (what.spec->lasting && limit < all)
+        const std::size_t limit = limits.at(static_cast<std::size_t>(step.kind()));
+        if (step.spec->lasting && limit < max_starts)
         {
-            (void)place_in_turn(now, what, {limit, all}, into);
+            (void)place_within_limits(now, step, {limit, max_starts}, into);
             if (into.starts.size() >= limit)
             {
-                limited_lasting.push_back(&what);
+                limited_lasting.push_back(&step);
             }
             continue;
         }
-        if (what.spec->filler)
+        if (step.spec->filler)
         {
             place_limited_lasting();
         }
-        all_asked = place_in_turn(now, what, {limit, all}, into) && all_asked;
+        all_within_limits = place_within_limits(now, step, {limit, max_starts}, into) && all_within_limits;
     }
     place_limited_lasting();
     ++window_.placements;
-    window_.cut_short += all_asked ? 0 : 1;
+    window_.limited += all_within_limits ? 0 : 1;
     report_placements(now, ready);
-    if (!all_asked)
+    if (!all_within_limits)
     {
-        room_changed_ = true; // the rest has its turn in the next round
-        full_steps_.clear();  // not asked this time, so what was known of them is not kept up
+        room_changed_ = true;   // the remaining steps are placed in the next round
+        blocked_steps_.clear(); // steps that were not tried have outdated entries
         return;
     }
     if (considers_fillers_)
     {
-        forget_placed_steps();
+        erase_unblocked_steps();
     }
 }
 
-bool dispatcher::place_in_turn(time_point now, const ready_step& what, start_limits limits, jobs::round& into)
+bool dispatcher::place_within_limits(time_point now,
+                                     const ready_step& step,
+                                     start_limits limits,
+                                     jobs::round& into)
 {
     const std::size_t before = into.starts.size();
-    const bool has_turn = before < limits.of_kind;
-    // A leader that is behind would leave low priorities without any start for as long as higher ones
-    // come: what has waited for long gets one task.
-    const bool has_extra = before >= limits.of_all && what.urgent && extra_starts_ > 0;
-    if (!has_turn && !has_extra)
+    const bool is_within_limit = before < limits.per_kind;
+    // An overloaded leader would starve low priorities for as long as tasks of higher ones arrive: a step
+    // that has waited for long may start one task.
+    const bool may_use_extra = before >= limits.total && step.urgent && extra_starts_ > 0;
+    if (!is_within_limit && !may_use_extra)
     {
-        ++window_.of(what.kind()).steps_without_turn;
+        ++window_.of(step.kind()).steps_over_limit;
         return false;
     }
-    starts_limit_ = has_turn ? limits.of_kind : before + 1;
-    place_step(now, what, into);
-    extra_starts_ -= has_turn ? 0 : into.starts.size() - before;
-    return has_turn;
+    starts_limit_ = is_within_limit ? limits.per_kind : before + 1;
+    place_step(now, step, into);
+    extra_starts_ -= is_within_limit ? 0 : into.starts.size() - before;
+    return is_within_limit;
 }
 
-// Lasting tasks that lost their worker come first and by the thousand: short ones would be late behind them.
-// What a decision starts for fillers lengthens the way of short tasks through the next ones, and of that way
-// a short job's objective allows for its constant part.
-std::array<std::size_t, work_kind_count> dispatcher::limit_starts(std::size_t all,
-                                                                  std::span<const ready_step> ready) const
+// Lasting tasks that lost their worker are placed first. There may be thousands of them, and short tasks
+// would be late behind them, so up to half of the starts stay free for short ones. Starts of fillers add to
+// the overhead of short tasks in the following decisions. Fillers get fewer starts when that overhead exceeds
+// the constant part of the strictest short job's latency objective.
+std::array<std::size_t, work_kind_count>
+dispatcher::compute_start_limits(std::size_t all, std::span<const ready_step> ready) const
 {
     std::size_t short_tasks = 0;
     double allowed_ms = std::numeric_limits<double>::infinity();
-    for (const ready_step& what : ready)
+    for (const ready_step& step : ready)
     {
-        if (what.kind() == work_kind::brief && what.worth != worth_class::hopeless)
+        if (step.kind() == work_kind::short_task && step.worth != worth_class::hopeless)
         {
-            short_tasks += what.count_waiting();
-            allowed_ms = std::min<double>(allowed_ms, what.job->taken_from.objective_extra_ms);
+            short_tasks += step.count_waiting();
+            allowed_ms = std::min<double>(allowed_ms, step.job->taken_from.objective_extra_ms);
         }
     }
-    const double overhead_ms = stage_delays_.overhead_ms(work_kind::brief);
+    const double overhead_ms = stage_delays_.overhead_ms(work_kind::short_task);
     const double share = overhead_ms > allowed_ms ? allowed_ms / overhead_ms : 1;
-    const auto of_fillers = static_cast<std::size_t>(static_cast<double>(all) * share);
+    const auto filler_starts = static_cast<std::size_t>(static_cast<double>(all) * share);
     std::array<std::size_t, work_kind_count> limits{};
     limits.at(static_cast<std::size_t>(work_kind::lasting)) = all - std::min(all / 2, short_tasks);
-    limits.at(static_cast<std::size_t>(work_kind::brief)) = all;
+    limits.at(static_cast<std::size_t>(work_kind::short_task)) = all;
     limits.at(static_cast<std::size_t>(work_kind::filler)) =
-        std::max(of_fillers, all / min_filler_share_divisor);
+        std::max(filler_starts, all / min_filler_share_divisor);
     return limits;
 }
 
@@ -148,7 +154,7 @@
     next_placement_report_at_ = now + report_interval;
     count_waiting(ready);
     logging::event line = window_.to_event();
-    add_room(line);
+    add_headroom_fields(line);
     events_.push_back(std::move(line));
     window_ = {};
     events_.push_back(stage_delays_.to_event());
@@ -157,31 +163,31 @@
 
 void dispatcher::count_waiting(std::span<const ready_step> ready)
 {
-    for (const ready_step& what : ready)
+    for (const ready_step& step : ready)
     {
-        kind_counts& of = window_.of(what.kind());
-        ++of.steps_ready;
-        of.steps_late += what.worth == worth_class::late ? 1 : 0;
-        of.steps_hopeless += what.worth == worth_class::hopeless ? 1 : 0;
-        of.tasks_waiting += static_cast<std::int64_t>(what.count_waiting());
+        kind_counts& counts = window_.of(step.kind());
+        ++counts.steps_ready;
+        counts.steps_late += step.worth == worth_class::late ? 1 : 0;
+        counts.steps_hopeless += step.worth == worth_class::hopeless ? 1 : 0;
+        counts.tasks_waiting += static_cast<std::int64_t>(step.count_waiting());
     }
 }
 
-void dispatcher::forget_placed_steps()
+void dispatcher::erase_unblocked_steps()
 {
-    std::erase_if(full_steps_,
+    std::erase_if(blocked_steps_,
                   [this](const auto& entry)
                   {
                       return entry.second.placement != placements_;
                   });
 }
 
-bool dispatcher::wants_run(const ready_step& what, const waiting_task& task) const
+bool dispatcher::needs_run(const ready_step& step, const waiting_task& task) const
 {
-    const jobs::task& recorded = what.state().tasks[task.name.index];
-    // A copy of a task that crashes its worker would crash another one.
+    const jobs::task& recorded = step.state().tasks[task.name.index];
+    // A copy of a task that crashes its worker would crash a second worker.
     const bool wants_copy =
-        what.spec->copies_allowed && copy_wanted_.contains(task.name) && !is_suspect(recorded.evidence);
+        step.spec->copies_allowed && copy_wanted_.contains(task.name) && !is_suspect(recorded.evidence);
     if (recorded.phase == jobs::task_phase::done || (!wants_copy && !recorded.runs.empty()))
     {
         return false;
@@ -192,228 +198,235 @@
 dispatcher::task_runs dispatcher::runs_of(const jobs::task_name& name) const
 {
     task_runs found;
-    for (auto at = runs_.lower_bound({name, 0}); at != runs_.end() && at->first.task == name; ++at)
+    for (auto entry = runs_.lower_bound({name, 0}); entry != runs_.end() && entry->first.task == name;
+         ++entry)
     {
-        found.first_on = found.count == 0 ? at->second.on : found.first_on;
+        found.first_worker = found.count == 0 ? entry->second.on : found.first_worker;
         ++found.count;
-        found.last_attempt = at->first.attempt;
+        found.last_attempt = entry->first.attempt;
     }
     return found;
 }
 
-void dispatcher::place_step(time_point now, const ready_step& what, jobs::round& into)
+void dispatcher::place_step(time_point now, const ready_step& step, jobs::round& into)
 {
-    if (what.spec->gang)
+    if (step.spec->gang)
     {
-        place_gang(now, what, into);
+        place_gang(now, step, into);
         return;
     }
     const std::size_t before = into.starts.size();
-    place_waiting(now, what, false, into);
-    place_waiting(now, what, true, into);
+    place_waiting_tasks(now, step, false, into);
+    place_waiting_tasks(now, step, true, into);
     if (into.starts.size() > before)
     {
         const jobs::run_started& first = into.starts[before];
         const auto count = static_cast<std::int64_t>(into.starts.size() - before);
-        kind_counts& of = window_.of(what.kind());
-        of.granted_late += what.worth == worth_class::late ? count : 0;
-        of.granted_hopeless += what.worth == worth_class::hopeless ? count : 0;
-        const duration queued = queued_for(now, into.at_ms, what);
+        kind_counts& counts = window_.of(step.kind());
+        counts.granted_late += step.worth == worth_class::late ? count : 0;
+        counts.granted_hopeless += step.worth == worth_class::hopeless ? count : 0;
+        const duration queued = queueing_time(now, into.at_ms, step);
         for (std::size_t at = before; at < into.starts.size(); ++at)
         {
             if (into.starts[at].name.attempt == 1)
             {
-                stage_delays_.record(what.kind(), task_stage::queued, queued);
+                stage_delays_.record(step.kind(), task_stage::queued, queued);
             }
         }
-        events_.push_back(logging::event("dispatch", "tasks_granted", "Tasks of a step are given to workers.")
-                              .with("job", what.job->id)
-                              .with("step", what.step)
-                              .with("tasks", count)
-                              .with("first_worker", first.worker.id)
-                              .with("first_worker_born_ms", first.worker.born_ms)
-                              .with("first_attempt", first.name.attempt)
-                              .with("worth", static_cast<std::int64_t>(what.worth)));
+        events_.push_back(
+            logging::event("dispatch", "tasks_granted", "Tasks of a step were assigned to workers.")
+                .with("job", step.job->id)
+                .with("step", step.step)
+                .with("tasks", count)
+                .with("first_worker", first.worker.id)
+                .with("first_worker_born_ms", first.worker.born_ms)
+                .with("first_attempt", first.name.attempt)
+                .with("worth", static_cast<std::int64_t>(step.worth)));
     }
 }
 
-duration dispatcher::queued_for(time_point now, std::int64_t day_ms, const ready_step& what) const
+duration dispatcher::queueing_time(time_point now, std::int64_t day_ms, const ready_step& step) const
 {
-    const jobs::job& job = *what.job;
+    const jobs::job& job = *step.job;
     const std::int64_t since_ms = job.spec.repeat_count == 0
                                       ? job.accepted_at_ms
-                                      : job.spec.first_due_ms + what.at->number * job.spec.interval_ms;
+                                      : job.spec.first_due_ms + step.at->number * job.spec.interval_ms;
     duration waited = milliseconds(std::max<std::int64_t>(day_ms - since_ms, 0));
-    for (const std::uint32_t before : what.spec->after)
+    for (const std::uint32_t before : step.spec->after)
     {
-        const auto seen = steps_.find({job.id, before});
-        if (seen != steps_.end() && seen->second->last_end_at != time_point{})
+        const auto stats = steps_.find({job.id, before});
+        if (stats != steps_.end() && stats->second->last_end_at != time_point{})
         {
-            waited = std::min(waited, std::chrono::duration_cast<duration>(now - seen->second->last_end_at));
+            waited = std::min(waited, std::chrono::duration_cast<duration>(now - stats->second->last_end_at));
         }
     }
     return waited;
 }
 
-void dispatcher::place_waiting(time_point now, const ready_step& what, bool first_start, jobs::round& into)
+void dispatcher::place_waiting_tasks(time_point now,
+                                     const ready_step& step,
+                                     bool first_start,
+                                     jobs::round& into)
 {
-    const std::vector<jobs::task>& tasks = what.state().tasks;
-    const step_id id{what.job->order, what.at->number, what.step, first_start};
-    std::optional<std::vector<candidate>> candidates; // these tasks are alike: workers are asked once
-    waiting_task task{what.task(0), {}};
-    start_kind how = first_start ? start_kind::first : start_kind::again;
-    const auto ask = [&](std::size_t wanted)
+    const std::vector<jobs::task>& tasks = step.state().tasks;
+    const step_id id{step.job->order, step.at->number, step.step, first_start};
+    std::optional<std::vector<candidate>> candidates; // shared by all tasks of the step, which are alike
+    waiting_task task{step.task(0), {}};
+    start_kind start = first_start ? start_kind::first : start_kind::restart;
+    const auto update_candidates = [&](std::size_t wanted)
     {
-        const auto full = full_steps_.find(id);
-        const bool known = full != full_steps_.end() && now < full->second.whole_look_at;
-        candidates = find_candidates(now, what, how, known ? full->second.changes : 0, wanted);
+        const auto blocked = blocked_steps_.find(id);
+        const bool known = blocked != blocked_steps_.end() && now < blocked->second.full_rescan_at;
+        candidates = find_candidates(now, step, start, known ? blocked->second.changes : 0, wanted);
     };
     for (std::uint32_t index = 0; index < tasks.size(); ++index)
     {
         if (into.starts.size() >= starts_limit_)
         {
-            room_changed_ = true; // the rest of the step has its turn in the next round
+            room_changed_ = true; // the remaining tasks of the step are placed in the next round
             return;
         }
-        const bool may_want = !tasks[index].runs.empty() ? what.spec->copies_allowed
-                                                         : tasks[index].phase != jobs::task_phase::done;
-        if ((tasks[index].last_attempt == 0) != first_start || !may_want)
+        const bool may_need_run = !tasks[index].runs.empty() ? step.spec->copies_allowed
+                                                             : tasks[index].phase != jobs::task_phase::done;
+        if ((tasks[index].last_attempt == 0) != first_start || !may_need_run)
         {
-            continue; // told by the record alone: nothing is looked up
+            continue; // the record alone rules the task out, so its runs need no lookup
         }
         task.name.index = index;
         task.runs = runs_of(task.name);
-        if (!wants_run(what, task) || retry_pauses_.holds_back(now, task.name))
+        if (!needs_run(step, task) || retry_pauses_.holds_back(now, task.name))
         {
             continue;
         }
         if (!candidates.has_value())
         {
-            ask(tasks.size() - index);
+            update_candidates(tasks.size() - index);
         }
-        const bool wants_copy = what.spec->copies_allowed && copy_wanted_.contains(task.name);
-        granted result = place_task(what, task, how, *candidates, now, into);
-        if (result == granted::none_fits && how == start_kind::again && what.spec->lasting)
+        const bool wants_copy = step.spec->copies_allowed && copy_wanted_.contains(task.name);
+        placement_result result = place_task(step, task, start, *candidates, now, into);
+        if (result == placement_result::no_worker && start == start_kind::restart && step.spec->lasting)
         {
-            how = start_kind::again_anywhere; // it is to be away as shortly as can be
-            ask(tasks.size() - index);
-            result = place_task(what, task, how, *candidates, now, into);
+            start =
+                start_kind::restart_anywhere; // a restart takes precedence over the headroom for short tasks
+            update_candidates(tasks.size() - index);
+            result = place_task(step, task, start, *candidates, now, into);
         }
-        if (result != granted::none_fits || wants_copy)
+        if (result != placement_result::no_worker || wants_copy)
         {
             continue;
         }
-        full_step& full = full_steps_[id];
-        full.changes = changes_;
-        full.whole_look_at = now < full.whole_look_at ? full.whole_look_at : now + whole_look_interval;
-        full.placement = placements_;
-        ++window_.of(what.kind()).steps_without_worker;
-        explain_wait(now, what, index);
-        if (what.regains && !first_start)
+        blocked_step& blocked = blocked_steps_[id];
+        blocked.changes = changes_;
+        blocked.full_rescan_at =
+            now < blocked.full_rescan_at ? blocked.full_rescan_at : now + full_rescan_interval;
+        blocked.placement = placements_;
+        ++window_.of(step.kind()).steps_without_worker;
+        log_wait_reasons(now, step, index);
+        if (step.regains && !first_start)
         {
-            hold_room(now, what, static_cast<std::uint32_t>(tasks.size()) - index);
+            reserve_workers(now, step, static_cast<std::uint32_t>(tasks.size()) - index);
         }
-        return; // where one finds no room, no other does
+        return; // the step's other tasks are alike and would find no worker either
     }
 }
 
-dispatcher::granted dispatcher::place_task(const ready_step& what,
-                                           const waiting_task& task,
-                                           start_kind how,
-                                           std::vector<candidate>& candidates,
-                                           time_point now,
-                                           jobs::round& into)
+dispatcher::placement_result dispatcher::place_task(const ready_step& step,
+                                                    const waiting_task& task,
+                                                    start_kind start,
+                                                    std::vector<candidate>& candidates,
+                                                    time_point now,
+                                                    jobs::round& into)
 {
-    const jobs::task& recorded = what.state().tasks[task.name.index];
-    worker_view* on = choose_worker(now, what, task, how, {}, candidates);
-    if (on == nullptr)
+    const jobs::task& recorded = step.state().tasks[task.name.index];
+    worker_view* worker = choose_worker(now, step, task, start, {}, candidates);
+    if (worker == nullptr)
     {
-        return granted::none_fits;
+        return placement_result::no_worker;
     }
-    if (is_suspect(recorded.evidence) && waits_apart(now, task.name, *on))
+    if (is_suspect(recorded.evidence) && waits_apart(now, task.name, *worker))
     {
-        return granted::waits_apart;
+        return placement_result::awaits_isolation;
     }
-    if (what.spec->copies_allowed && copy_wanted_.erase(task.name) > 0)
+    if (step.spec->copies_allowed && copy_wanted_.erase(task.name) > 0)
     {
         ++counts_.copies;
     }
-    // A run whose record is on its way has a number that the state doesn't know yet.
+    // The state doesn't contain the attempt number of a run whose record is not committed yet.
     const std::uint32_t last = std::max(recorded.last_attempt, task.runs.last_attempt);
-    grant(now, what, task.name.index, last + 1, *on, into);
-    // Only the worker that has just been given a task suits differently now.
+    grant(now, step, task.name.index, last + 1, *worker, into);
+    // Only the score and eligibility of the chosen worker have changed.
     const auto chosen = std::find_if(candidates.begin(),
                                      candidates.end(),
-                                     [on](const candidate& one)
+                                     [worker](const candidate& entry)
                                      {
-                                         return one.on == on;
+                                         return entry.worker == worker;
                                      });
-    if (may_take(now, *on, what, how) == fitness::fits)
+    if (check_eligibility(now, *worker, step, start) == eligibility::eligible)
     {
-        chosen->points = score(*on, what, how);
+        chosen->score = score_worker(*worker, step, start);
     }
     else
     {
         candidates.erase(chosen);
     }
-    return granted::yes;
+    return placement_result::placed;
 }
 
-void dispatcher::place_gang(time_point now, const ready_step& what, jobs::round& into)
+void dispatcher::place_gang(time_point now, const ready_step& step, jobs::round& into)
 {
-    const std::vector<jobs::task>& tasks = what.state().tasks;
+    const std::vector<jobs::task>& tasks = step.state().tasks;
     std::uint32_t attempt = 0;
     for (std::uint32_t index = 0; index < tasks.size(); ++index)
     {
-        if (runs_of(what.task(index)).count > 0 || retry_pauses_.holds_back(now, what.task(index)))
+        if (runs_of(step.task(index)).count > 0 || retry_pauses_.holds_back(now, step.task(index)))
         {
-            return; // all members of the last run must be over
+            return; // a gang restarts only after all runs of its previous attempt have ended
         }
         attempt = std::max(attempt, tasks[index].last_attempt);
     }
-    const std::size_t planned_before = into.starts.size();
+    const std::size_t starts_before = into.starts.size();
     std::string rack;
     for (std::uint32_t index = 0; index < tasks.size(); ++index)
     {
-        const start_kind how =
-            tasks[index].last_attempt == 0 ? start_kind::first : start_kind::again_anywhere;
-        const waiting_task task{what.task(index), {}};
-        worker_view* on = choose_worker(now, what, task, how, rack, ask_all(now, what, how));
-        if (on == nullptr)
+        const start_kind start =
+            tasks[index].last_attempt == 0 ? start_kind::first : start_kind::restart_anywhere;
+        const waiting_task task{step.task(index), {}};
+        worker_view* worker = choose_worker(now, step, task, start, rack, scan_all_workers(now, step, start));
+        if (worker == nullptr)
         {
-            while (into.starts.size() > planned_before)
+            while (into.starts.size() > starts_before)
             {
                 remove_run(into.starts.back().name);
                 into.starts.pop_back();
             }
             return;
         }
-        if (what.spec->single_rack && rack.empty())
+        if (step.spec->single_rack && rack.empty())
         {
-            rack = on->info.rack;
+            rack = worker->info.rack;
         }
-        grant(now, what, index, attempt + 1, *on, into);
+        grant(now, step, index, attempt + 1, *worker, into);
     }
 }
 
 void dispatcher::grant(time_point now,
-                       const ready_step& what,
+                       const ready_step& step,
                        std::uint32_t index,
                        std::uint32_t attempt,
-                       worker_view& on,
+                       worker_view& worker,
                        jobs::round& into)
 {
-    run_view added = make_run_view({what.task(index), attempt}, on.info.life, *what.job);
+    run_view added = make_run_view({step.task(index), attempt}, worker.info.life, *step.job);
     added.granted_at = now;
-    kind_counts& of = window_.of(what.kind());
-    ++of.granted;
-    of.granted_again += attempt > 1 ? 1 : 0;
-    into.starts.push_back({added.name, on.info.life, on.info.address});
+    kind_counts& counts = window_.of(step.kind());
+    ++counts.granted;
+    counts.granted_restarts += attempt > 1 ? 1 : 0;
+    into.starts.push_back({added.name, worker.info.life, worker.info.address});
     add_run(std::move(added));
-    if (!on.granted)
+    if (!worker.granted)
     {
-        on.granted = true;
-        granted_.push_back(&on);
+        worker.granted = true;
+        granted_.push_back(&worker);
     }
 }
 
--- a/src/dispatch/placement_counts.cpp
+++ b/src/dispatch/placement_counts.cpp
@@ -8,24 +8,24 @@
 namespace
 {
 
-void add_kind(logging::event& line, work_kind kind, const kind_counts& of)
+void add_kind_fields(logging::event& line, work_kind kind, const kind_counts& counts)
 {
     const std::string name(to_string(kind));
-    line.with(name + "_steps", of.steps_ready)
-        .with(name + "_steps_late", of.steps_late)
-        .with(name + "_steps_hopeless", of.steps_hopeless)
-        .with(name + "_tasks_waiting", of.tasks_waiting)
-        .with(name + "_steps_without_turn", of.steps_without_turn)
-        .with(name + "_steps_without_worker", of.steps_without_worker)
-        .with(name + "_granted", of.granted)
-        .with(name + "_granted_again", of.granted_again)
-        .with(name + "_granted_late", of.granted_late)
-        .with(name + "_granted_hopeless", of.granted_hopeless)
-        .with(name + "_done", of.done)
-        .with(name + "_failed", of.failed)
-        .with(name + "_stopped", of.stopped)
-        .with(name + "_lapsed", of.lapsed)
-        .with(name + "_otherwise_over", of.otherwise_over);
+    line.with(name + "_steps", counts.steps_ready)
+        .with(name + "_steps_late", counts.steps_late)
+        .with(name + "_steps_hopeless", counts.steps_hopeless)
+        .with(name + "_tasks_waiting", counts.tasks_waiting)
+        .with(name + "_steps_without_turn", counts.steps_over_limit)
+        .with(name + "_steps_without_worker", counts.steps_without_worker)
+        .with(name + "_granted", counts.granted)
+        .with(name + "_granted_again", counts.granted_restarts)
+        .with(name + "_granted_late", counts.granted_late)
+        .with(name + "_granted_hopeless", counts.granted_hopeless)
+        .with(name + "_done", counts.done)
+        .with(name + "_failed", counts.failed)
+        .with(name + "_stopped", counts.stopped)
+        .with(name + "_lapsed", counts.lapsed)
+        .with(name + "_otherwise_over", counts.ended_otherwise);
 }
 
 } // namespace
@@ -36,7 +36,7 @@
     {
     case work_kind::lasting:
         return "lasting";
-    case work_kind::brief:
+    case work_kind::short_task:
         return "brief";
     case work_kind::filler:
         return "filler";
@@ -65,18 +65,18 @@
     case jobs::run_end::not_begun:
     case jobs::run_end::broken:
     case jobs::run_end::alone:
-        ++otherwise_over;
+        ++ended_otherwise;
         return;
     }
 }
 
 logging::event placement_counts::to_event() const
 {
-    logging::event line("dispatch", "placements", "What was placed in this window, and what waits.");
-    line.with("placements", placements).with("cut_short", cut_short).with("held_back", held_back);
+    logging::event line("dispatch", "placements", "Placements and waiting tasks in this window.");
+    line.with("placements", placements).with("cut_short", limited).with("held_back", deferred);
     for (std::size_t kind = 0; kind < work_kind_count; ++kind)
     {
-        add_kind(line, static_cast<work_kind>(kind), kinds.at(kind));
+        add_kind_fields(line, static_cast<work_kind>(kind), kinds.at(kind));
     }
     return line;
 }
--- a/src/dispatch/rounds.cpp
+++ b/src/dispatch/rounds.cpp
@@ -33,7 +33,7 @@
     if (in_flight_.size() >= options_.max_rounds_in_flight ||
         count_starts_in_flight() >= options_.max_starts_in_flight)
     {
-        ++window_.held_back;
+        ++window_.deferred;
         return;
     }
     planned_round planned;
--- a/src/dispatch/tend.cpp
+++ b/src/dispatch/tend.cpp
@@ -71,7 +71,7 @@
     }
     // A worker without runs that didn't answer is asked on: else it would count as silent for ever.
     const bool wanted =
-        has_something || (of.announced && !of.contacted) || (is_present(now, of) && of.silent_calls > 0);
+        has_something || (of.announced && !of.contacted) || (is_reachable(now, of) && of.silent_calls > 0);
     return !of.hold_in_flight && wanted && now >= of.next_hold_at;
 }
 
@@ -88,7 +88,7 @@
         sent.lease_until_ms = lease_for(now, of);
     }
     const bool calm = of.contacted && of.silent_calls == 0 && of.ends_proposed == of.ends_noted;
-    const bool watched = !strain_.is_late(now) && wants_new_reports(of);
+    const bool watched = !strain_.is_late(now) && needs_frequent_reports(of);
     milliseconds wait = watched ? options_.watched_poll_wait : options_.poll_wait;
     // So that a suspect which outlives its start is known to soon: a widespread crash then doesn't count.
     wait = of.suspects > 0 && !strain_.is_late(now) ? options_.suspect_poll_wait : wait;
--- a/src/dispatch/watch.cpp
+++ b/src/dispatch/watch.cpp
@@ -37,10 +37,10 @@
 
 void dispatcher::watch_runs(time_point now, const jobs::store& state)
 {
-    note_references();
+    update_reference_slacks();
     for (auto& [name, of] : runs_)
     {
-        note_held_run(now, of);
+        note_run_wait(now, of);
         watch_run(now, of);
         stop_needless_copy(of, state);
         attend(of);
@@ -53,7 +53,7 @@
     {
         if (of->serving_runs > 0 && of->filler_cpu_milli > 0)
         {
-            guard_target(now, *of);
+            enforce_target(now, *of);
         }
         if (of->announced && of->info.state == fleet::worker_state::draining)
         {
@@ -131,19 +131,20 @@
         copy_wanted_.insert(of.name.task);
         return;
     }
-    if (of.filler && of.stage == run_stage::running && of.wanted_pace < moved_pace && !of.saved.empty() &&
-        now > of.paced_since + moved_after && failed_on_[of.name.task].size() < most_moves)
+    if (of.filler && of.stage == run_stage::running && of.wanted_pace < relocation_pace &&
+        !of.saved.empty() && now > of.paced_since + moved_after &&
+        failed_on_[of.name.task].size() < most_moves)
     {
         ++counts_.moved_pace;
         move_run(now, of, "it would disturb what serves here");
         return;
     }
-    const bool judged = of.stage == run_stage::running && !silent && of.pace_percent >= whole_percent;
+    const bool judged = of.stage == run_stage::running && !silent && of.pace_percent >= full_percent;
     if (!judged || of.gang || !is_on(mechanism::straggler_moves))
     {
         return;
     }
-    const bool at_work = of.lasting && of.percent >= whole_percent;
+    const bool at_work = of.lasting && of.percent >= full_percent;
     const bool reported = of.confirmed_at > of.progress_at + options_.standstill / 2;
     if (!at_work && reported && now > of.progress_at + options_.standstill)
     {
@@ -156,7 +157,7 @@
     }
     const double elapsed = std::chrono::duration<double, std::milli>(of.confirmed_at - of.started_at).count();
     const double left =
-        elapsed * static_cast<double>(whole_percent - of.percent) / static_cast<double>(of.percent);
+        elapsed * static_cast<double>(full_percent - of.percent) / static_cast<double>(of.percent);
     const double again = of.siblings->mean_ms * (of.saves_progress && !of.saved.empty() ? 0.5 : 1.0);
     const double extra = std::chrono::duration<double, std::milli>(options_.straggler_extra).count();
     // A filler is slow where others use their processors: it is moved for much, and its worker not blamed.
@@ -258,7 +259,7 @@
         }
         const jobs::step_spec& spec = job->spec.steps[run.name.task.step];
         const double elapsed = std::chrono::duration<double, std::milli>(now - run.started_at).count();
-        const double needed = run.percent > 0 ? elapsed * static_cast<double>(whole_percent - run.percent) /
+        const double needed = run.percent > 0 ? elapsed * static_cast<double>(full_percent - run.percent) /
                                                     static_cast<double>(run.percent)
                                               : static_cast<double>(spec.estimate_ms);
         if (!spec.lasting && needed < static_cast<double>(left_ms))
@@ -287,7 +288,7 @@
     std::int64_t aside = 0;
     for (const auto& [id, of] : workers_)
     {
-        usable += is_usable(now, of, false) ? 1 : 0;
+        usable += is_available(now, of, false) ? 1 : 0;
         serving += of.serving_runs > 0 ? 1 : 0;
         silent += of.silent_calls > options_.max_silent_calls ? 1 : 0;
         aside += now < of.set_aside_until ? 1 : 0;
@@ -297,7 +298,7 @@
     }
     for (const auto& [name, run] : runs_)
     {
-        paced += run.wanted_pace < whole_percent ? 1 : 0;
+        paced += run.wanted_pace < full_percent ? 1 : 0;
     }
     events_.push_back(logging::event("dispatch", "summary", "What runs and what waits.")
                           .with("live_jobs", static_cast<std::int64_t>(state.live().size()))
--- a/src/dispatch/worker_choice.cpp
+++ b/src/dispatch/worker_choice.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Which worker takes a task, and why none does.
+/// @brief Chooses the worker for a task, and logs why a task finds none.
 
 #include "ready_step.hpp"
 
@@ -12,277 +12,283 @@
 namespace
 {
 
-// Of a worker's processors, in favour of one that serves already: what doesn't disturb goes there, so
-// that fillers find workers where nothing serves.
+// Share of a worker's processors, added to the score of a worker that runs serving tasks: tasks that don't
+// interfere are placed there, so that workers without serving tasks stay free for fillers.
 constexpr double serving_bonus = 0.5;
-// Thousandths of a core that one point of blame costs a worker in the comparison.
+// Thousandths of a core subtracted from a worker's score for each point of blame.
 constexpr double blame_cost = 8000;
-constexpr double wrong_rack_cost = 30'000; // more than any difference in free processors
-constexpr double unproven_cost = 16'000;   // for a task that has failed before
-// Of a worker's processors: serving tasks of one image go together, since what harms one image is then kept
-// from fewer workers. Above 2 an empty worker is better than one that serves another image.
+constexpr double off_rack_cost = 30'000; // more than any difference in free processors
+constexpr double unproven_cost = 16'000; // on workers without proof, for a task that has failed before
+// Share of a worker's processors. Serving tasks of one image are colocated, so that fillers that interfere
+// with that image are kept off fewer workers. Above 2 an empty worker is preferred to one that serves another
+// image.
 constexpr double mixed_images_cost = 2.5;
-// Of a worker's processors, for each unit of slack that a filler would take from a serving task.
+// Share of a worker's processors for each unit of slack that a filler would take from a serving task.
 constexpr double effect_cost = 1;
-// A worker that may crash within 50 ms is the last choice for sound tasks.
+// A worker that runs a prime suspect may crash within 50 ms, so other tasks are placed there last.
 constexpr double beside_prime_suspect_cost = 60'000;
-constexpr auto explanation_interval = seconds(1); // one waiting task of a kind a second explains a queue
+constexpr auto wait_reason_interval = seconds(1); // per kind of work; one task of a queue is representative
 constexpr double max_set_aside_share = 0.34;
 
 } // namespace
 
-void dispatcher::note_set_aside_share(time_point now)
+void dispatcher::update_set_aside_limit(time_point now)
 {
     std::size_t announced = 0;
     std::size_t aside = 0;
-    for (const auto& [id, of] : workers_)
+    for (const auto& [id, worker] : workers_)
     {
-        announced += of.announced ? 1 : 0;
-        aside += of.announced && now < of.set_aside_until ? 1 : 0;
+        announced += worker.announced ? 1 : 0;
+        aside += worker.announced && now < worker.set_aside_until ? 1 : 0;
     }
     ignore_set_aside_ = static_cast<double>(aside) > max_set_aside_share * static_cast<double>(announced);
 }
 
 worker_view* dispatcher::choose_worker(time_point now,
-                                       const ready_step& what,
+                                       const ready_step& step,
                                        const waiting_task& task,
-                                       start_kind how,
+                                       start_kind start,
                                        const std::string& rack,
                                        std::span<const candidate> candidates) const
 {
-    const jobs::task& recorded = what.state().tasks[task.name.index];
+    const jobs::task& recorded = step.state().tasks[task.name.index];
     const auto failed = failed_on_.find(task.name);
-    const worker_view* holds_copy = task.runs.first_on;
+    const worker_view* holds_copy = task.runs.first_worker;
     const bool suspect = is_suspect(recorded.evidence);
     worker_view* best = nullptr;
     double best_score = 0;
-    for (const candidate& one : candidates)
+    for (const candidate& entry : candidates)
     {
-        const worker_view& of = *one.on;
-        double points = one.points;
+        const worker_view& worker = *entry.worker;
+        double score = entry.score;
         if (failed != failed_on_.end())
         {
-            points -= of.tasks_done == 0 || of.blame > 0.5 ? unproven_cost : 0;
-            points -= failed->second.contains(of.info.life) ? 2 * wrong_rack_cost : 0;
+            score -= worker.tasks_done == 0 || worker.blame > 0.5 ? unproven_cost : 0;
+            score -= failed->second.contains(worker.info.life) ? 2 * off_rack_cost : 0;
         }
-        points -= now < of.set_aside_until ? set_aside_cost : 0;
-        points -= suspect ? crash_risk_cost(now, of) : 0;
-        points -= !rack.empty() && of.info.rack != rack ? wrong_rack_cost : 0;
-        const bool kept =
-            how != start_kind::again_anywhere && what.spec->lasting && !leaves_short_room(of, what);
-        if (&of != holds_copy && !kept && (best == nullptr || points > best_score))
+        score -= now < worker.set_aside_until ? set_aside_cost : 0;
+        score -= suspect ? crash_risk_cost(now, worker) : 0;
+        score -= !rack.empty() && worker.info.rack != rack ? off_rack_cost : 0;
+        const bool blocked_by_headroom =
+            start != start_kind::restart_anywhere && step.spec->lasting && !leaves_headroom(worker, step);
+        if (&worker != holds_copy && !blocked_by_headroom && (best == nullptr || score > best_score))
         {
-            best = one.on;
-            best_score = points;
+            best = entry.worker;
+            best_score = score;
         }
     }
     return best;
 }
 
-bool dispatcher::is_usable(time_point now, const worker_view& of, bool urgent) const
+bool dispatcher::is_available(time_point now, const worker_view& worker, bool urgent) const
 {
-    const bool set_aside = now < of.set_aside_until && !ignore_set_aside_ && !urgent;
-    return is_present(now, of) && of.info.state == fleet::worker_state::ready && !of.over_at.has_value() &&
-           of.contacted && of.clock.known() && of.silent_calls <= options_.max_silent_calls && !set_aside &&
-           now >= of.no_room_until;
+    const bool set_aside = now < worker.set_aside_until && !ignore_set_aside_ && !urgent;
+    return is_reachable(now, worker) && worker.info.state == fleet::worker_state::ready &&
+           !worker.over_at.has_value() && worker.contacted && worker.clock.known() &&
+           worker.silent_calls <= options_.max_silent_calls && !set_aside && now >= worker.no_room_until;
 }
 
-bool dispatcher::is_present(time_point now, const worker_view& of) const noexcept
+bool dispatcher::is_reachable(time_point now, const worker_view& worker) const noexcept
 {
-    const bool announces = now < of.announced_at + options_.announce_silence;
-    const bool answers = now < of.answered_at + options_.answer_timeout &&
-                         now < of.announced_at + options_.max_announcement_age;
-    return of.announced && (announces || answers);
+    const bool announces = now < worker.announced_at + options_.announce_silence;
+    const bool answers = now < worker.answered_at + options_.answer_timeout &&
+                         now < worker.announced_at + options_.max_announcement_age;
+    return worker.announced && (announces || answers);
 }
 
-std::uint32_t dispatcher::runs_of_step(const worker_view& of, const ready_step& what)
+std::uint32_t dispatcher::count_step_runs(const worker_view& worker, const ready_step& step)
 {
-    return static_cast<std::uint32_t>(std::count_if(of.runs.begin(),
-                                                    of.runs.end(),
-                                                    [&what](const run_view& run)
+    return static_cast<std::uint32_t>(std::count_if(worker.runs.begin(),
+                                                    worker.runs.end(),
+                                                    [&step](const run_view& run)
                                                     {
                                                         const jobs::task_name& task = run.name.task;
-                                                        return task.step == what.step &&
-                                                               task.occurrence == what.at->number &&
-                                                               task.job == what.job->id;
+                                                        return task.step == step.step &&
+                                                               task.occurrence == step.at->number &&
+                                                               task.job == step.job->id;
                                                     }));
 }
 
-dispatcher::fitness
-dispatcher::may_take(time_point now, worker_view& of, const ready_step& what, start_kind how) const
+dispatcher::eligibility dispatcher::check_eligibility(time_point now,
+                                                      worker_view& worker,
+                                                      const ready_step& step,
+                                                      start_kind start) const
 {
-    const jobs::step_spec& spec = *what.spec;
-    if (of.info.service != what.job->taken_from.service)
+    const jobs::step_spec& spec = *step.spec;
+    if (worker.info.service != step.job->taken_from.service)
     {
-        return fitness::other_pool;
+        return eligibility::other_pool;
     }
-    if (!is_usable(now, of, what.urgent))
+    if (!is_available(now, worker, step.urgent))
     {
-        return fitness::not_usable;
+        return eligibility::unavailable;
     }
-    const std::vector<std::string>& labels = of.info.labels;
+    const std::vector<std::string>& labels = worker.info.labels;
     if (!spec.required_label.empty() &&
         std::find(labels.begin(), labels.end(), spec.required_label) == labels.end())
     {
-        return fitness::no_label;
+        return eligibility::missing_label;
     }
-    if (spec.max_per_worker > 0 && runs_of_step(of, what) >= spec.max_per_worker)
+    if (spec.max_per_worker > 0 && count_step_runs(worker, step) >= spec.max_per_worker)
     {
-        return fitness::spread;
+        return eligibility::per_worker_limit;
     }
-    if (!spec.filler && of.held)
+    if (!spec.filler && worker.reserved)
     {
-        return fitness::held;
+        return eligibility::reserved;
     }
-    jobs::room left = of.info.room;
-    left -= of.used;
+    jobs::room left = worker.info.room;
+    left -= worker.used;
     jobs::room needs = spec.needs;
     if (spec.filler)
     {
-        if (spare_for_fillers(of) < needs.cpu_milli)
+        if (filler_headroom_milli(worker) < needs.cpu_milli)
         {
-            return fitness::no_room;
+            return eligibility::insufficient_capacity;
         }
-        refresh_digest(of);
-        if (of.digest.over_target)
+        refresh_colocation(worker);
+        if (worker.colocation.over_target)
         {
-            return fitness::would_harm;
+            return eligibility::would_interfere;
         }
-        // What would wait for ever is put where it harms least, and slowed there as far as needed: one on a
-        // worker, else all that waits stands slowed on all workers, and nothing ends.
-        if (harms(of.digest, what.image_id) && (!what.starving || has_harmful_filler(of.digest)))
+        // A starving filler would wait forever, so it is placed where it interferes least and is throttled as
+        // far as needed. Only one per worker: otherwise all waiting fillers would run throttled, and none
+        // would finish.
+        if (would_interfere(worker.colocation, step.image_id) &&
+            (!step.starving || has_interfering_filler(worker.colocation)))
         {
-            return fitness::would_harm;
+            return eligibility::would_interfere;
         }
         needs.cpu_milli = 0;
     }
     if (!needs.fits_into(left))
     {
-        return fitness::no_room;
+        return eligibility::insufficient_capacity;
     }
-    const bool leaves_room =
-        how == start_kind::again_anywhere || !spec.lasting || leaves_short_room(of, what);
-    return leaves_room ? fitness::fits : fitness::kept;
+    const bool has_headroom =
+        start == start_kind::restart_anywhere || !spec.lasting || leaves_headroom(worker, step);
+    return has_headroom ? eligibility::eligible : eligibility::short_task_headroom;
 }
 
-void dispatcher::explain_wait(time_point now, const ready_step& what, std::uint32_t index)
+void dispatcher::log_wait_reasons(time_point now, const ready_step& step, std::uint32_t index)
 {
-    time_point& next_at = next_explanation_at_.at(static_cast<std::size_t>(what.kind()));
+    time_point& next_at = next_wait_reason_at_.at(static_cast<std::size_t>(step.kind()));
     if (now < next_at)
     {
         return;
     }
-    next_at = now + explanation_interval;
-    std::array<std::int64_t, fitness_count> counts{};
-    const bool first = what.state().tasks[index].last_attempt == 0;
-    const start_kind how = first ? start_kind::first : start_kind::again_anywhere;
-    for (worker_view* of : all_workers())
+    next_at = now + wait_reason_interval;
+    std::array<std::int64_t, eligibility_count> counts{};
+    const bool first = step.state().tasks[index].last_attempt == 0;
+    const start_kind start = first ? start_kind::first : start_kind::restart_anywhere;
+    for (worker_view* worker : all_workers())
     {
-        ++counts.at(static_cast<std::size_t>(may_take(now, *of, what, how)));
+        ++counts.at(static_cast<std::size_t>(check_eligibility(now, *worker, step, start)));
     }
-    const auto of = [&counts](fitness which)
+    const auto count_of = [&counts](eligibility reason)
     {
-        return counts.at(static_cast<std::size_t>(which));
+        return counts.at(static_cast<std::size_t>(reason));
     };
-    events_.push_back(logging::event("dispatch", "task_waits", "No worker takes a task now.")
-                          .with("job", what.job->id)
-                          .with("step", what.step)
+    events_.push_back(logging::event("dispatch", "task_waits", "No worker can take a task now.")
+                          .with("job", step.job->id)
+                          .with("step", step.step)
                           .with("index", index)
-                          .with("lasting", what.spec->lasting ? 1 : 0)
-                          .with("filler", what.spec->filler ? 1 : 0)
-                          .with("needs_cpu_milli", what.spec->needs.cpu_milli)
-                          .with("needs_memory_mb", what.spec->needs.memory_mb)
-                          .with("not_usable", of(fitness::not_usable))
-                          .with("no_label", of(fitness::no_label))
-                          .with("spread", of(fitness::spread))
-                          .with("no_room", of(fitness::no_room))
-                          .with("would_harm", of(fitness::would_harm))
-                          .with("held", of(fitness::held))
-                          .with("kept", of(fitness::kept)));
+                          .with("lasting", step.spec->lasting ? 1 : 0)
+                          .with("filler", step.spec->filler ? 1 : 0)
+                          .with("needs_cpu_milli", step.spec->needs.cpu_milli)
+                          .with("needs_memory_mb", step.spec->needs.memory_mb)
+                          .with("not_usable", count_of(eligibility::unavailable))
+                          .with("no_label", count_of(eligibility::missing_label))
+                          .with("spread", count_of(eligibility::per_worker_limit))
+                          .with("no_room", count_of(eligibility::insufficient_capacity))
+                          .with("would_harm", count_of(eligibility::would_interfere))
+                          .with("held", count_of(eligibility::reserved))
+                          .with("kept", count_of(eligibility::short_task_headroom)));
 }
 
-double dispatcher::same_image_share(const worker_row& of, image_number image)
+double dispatcher::same_image_share(const worker_row& row, image_number image)
 {
-    const auto found = std::find_if(of.runs->serving.begin(),
-                                    of.runs->serving.end(),
-                                    [image](const serving_image& one)
+    const auto found = std::find_if(row.colocation->serving.begin(),
+                                    row.colocation->serving.end(),
+                                    [image](const serving_image& entry)
                                     {
-                                        return one.image == image;
+                                        return entry.image == image;
                                     });
-    return of.serving_runs == 0 || found == of.runs->serving.end()
+    return row.serving_runs == 0 || found == row.colocation->serving.end()
                ? 0
-               : static_cast<double>(found->runs) / of.serving_runs;
+               : static_cast<double>(found->runs) / row.serving_runs;
 }
 
-index_key dispatcher::key_of(const ready_step& what, start_kind how) noexcept
+index_key dispatcher::index_key_for(const ready_step& step, start_kind start) noexcept
 {
-    const jobs::step_spec& spec = *what.spec;
-    if (spec.lasting && how == start_kind::again_anywhere)
+    const jobs::step_spec& spec = *step.spec;
+    if (spec.lasting && start == start_kind::restart_anywhere)
     {
-        return {task_kind::brief, 0}; // tight, whatever runs there: it uses up as few places as can be
+        return {task_kind::short_task, 0}; // best fit, whatever runs there: uses up as few slots as possible
     }
     if (spec.lasting && spec.tail_target_ms > 0)
     {
-        return {task_kind::serving, what.image_id};
+        return {task_kind::serving, step.image_id};
     }
     if (spec.filler)
     {
-        return {what.starving ? task_kind::starving_filler : task_kind::filler, what.image_id};
+        return {step.starving ? task_kind::starving_filler : task_kind::filler, step.image_id};
     }
-    return {task_kind::brief, 0};
+    return {task_kind::short_task, 0};
 }
 
-bool dispatcher::is_wrong_rack(const worker_view& of, const ready_step& what)
+bool dispatcher::is_off_data_rack(const worker_view& worker, const ready_step& step)
 {
-    return !what.spec->data_rack.empty() && of.info.rack != what.spec->data_rack;
+    return !step.spec->data_rack.empty() && worker.info.rack != step.spec->data_rack;
 }
 
-worker_row dispatcher::make_row(worker_view& of) const
+worker_row dispatcher::make_row(worker_view& worker) const
 {
-    refresh_digest(of);
-    worker_row out;
-    out.on = &of;
-    out.cpu_left = cpu_left(of, false);
-    out.filler_left = cpu_left(of, true);
-    out.whole_milli = of.info.room.cpu_milli;
-    out.filler_milli = of.filler_cpu_milli;
-    out.handicap = blame_cost * of.blame + (of.prime_suspects > 0 ? beside_prime_suspect_cost : 0);
-    out.serving_runs = of.serving_runs;
-    out.runs = &of.digest;
-    return out;
+    refresh_colocation(worker);
+    worker_row row;
+    row.worker = &worker;
+    row.free_cpu_milli = free_cpu_milli(worker, false);
+    row.filler_free_milli = free_cpu_milli(worker, true);
+    row.total_milli = worker.info.room.cpu_milli;
+    row.filler_milli = worker.filler_cpu_milli;
+    row.penalty = blame_cost * worker.blame + (worker.prime_suspects > 0 ? beside_prime_suspect_cost : 0);
+    row.serving_runs = worker.serving_runs;
+    row.colocation = &worker.colocation;
+    return row;
 }
 
-double dispatcher::score(worker_view& of, const ready_step& what, start_kind how) const
+double dispatcher::score_worker(worker_view& worker, const ready_step& step, start_kind start) const
 {
-    return points_of(make_row(of), key_of(what, how)) - (is_wrong_rack(of, what) ? wrong_rack_cost : 0);
+    return base_score(make_row(worker), index_key_for(step, start)) -
+           (is_off_data_rack(worker, step) ? off_rack_cost : 0);
 }
 
-double dispatcher::points_of(const worker_row& of, const index_key& what) const
+double dispatcher::base_score(const worker_row& row, const index_key& key) const
 {
-    const auto free = static_cast<double>(of.cpu_left);
-    const auto fillers = static_cast<double>(of.filler_milli);
-    const auto whole = static_cast<double>(of.whole_milli);
-    const double points = -of.handicap;
-    switch (what.kind)
+    const auto free = static_cast<double>(row.free_cpu_milli);
+    const auto fillers = static_cast<double>(row.filler_milli);
+    const auto total = static_cast<double>(row.total_milli);
+    const double score = -row.penalty;
+    switch (key.kind)
     {
     case task_kind::serving:
     {
-        // Packed together, so that many workers stay free for fillers.
-        const bool counts = of.serving_runs > 0 && is_on(mechanism::serving_by_image);
-        const double other_images = counts ? 1 - same_image_share(of, what.image) : 0;
-        return points + (of.serving_runs > 0 ? whole : 0) - free - 2 * fillers -
-               mixed_images_cost * whole * other_images;
+        // Serving tasks are packed, so that many workers stay free for fillers.
+        const bool penalize_mix = row.serving_runs > 0 && is_on(mechanism::serving_by_image);
+        const double other_images = penalize_mix ? 1 - same_image_share(row, key.image) : 0;
+        return score + (row.serving_runs > 0 ? total : 0) - free - 2 * fillers -
+               mixed_images_cost * total * other_images;
     }
     case task_kind::filler:
     case task_kind::starving_filler:
-        // Where nothing serves it can do no harm.
-        return points + static_cast<double>(of.filler_left) -
-               effect_cost * whole * worst_effect(*of.runs, what.image);
-    case task_kind::brief:
+        // A filler can't interfere on a worker without serving tasks.
+        return score + static_cast<double>(row.filler_free_milli) -
+               effect_cost * total * max_effect_of(*row.colocation, key.image);
+    case task_kind::short_task:
         break;
     }
     const bool tight = is_on(mechanism::tight_short_tasks);
-    return points + (tight ? -free : free) - fillers + (of.serving_runs > 0 ? serving_bonus * whole : 0);
+    return score + (tight ? -free : free) - fillers + (row.serving_runs > 0 ? serving_bonus * total : 0);
 }
 
 } // namespace plumspoke::dispatch
--- a/src/dispatch/worker_index.cpp
+++ b/src/dispatch/worker_index.cpp
@@ -8,30 +8,30 @@
 void worker_ranking::assign(std::vector<indexed_worker> all)
 {
     ranked_.clear();
-    open_ = std::move(all);
-    for (std::size_t i = 0; i < open_.size(); ++i)
+    heap_ = std::move(all);
+    for (std::size_t i = 0; i < heap_.size(); ++i)
     {
-        open_[i].place = static_cast<std::uint32_t>(i);
+        heap_[i].position = static_cast<std::uint32_t>(i);
     }
-    std::make_heap(open_.begin(), open_.end(), is_worse);
+    std::make_heap(heap_.begin(), heap_.end(), ranks_below);
 }
 
-const indexed_worker* worker_ranking::at(std::size_t place)
+const indexed_worker* worker_ranking::at(std::size_t position)
 {
-    while (ranked_.size() <= place && !open_.empty())
+    while (ranked_.size() <= position && !heap_.empty())
     {
-        std::pop_heap(open_.begin(), open_.end(), is_worse);
-        ranked_.push_back(open_.back());
-        open_.pop_back();
+        std::pop_heap(heap_.begin(), heap_.end(), ranks_below);
+        ranked_.push_back(heap_.back());
+        heap_.pop_back();
     }
-    return place < ranked_.size() ? &ranked_[place] : nullptr;
+    return position < ranked_.size() ? &ranked_[position] : nullptr;
 }
 
 void filler_ranking::rank_best()
 {
-    std::pop_heap(open_.begin(), open_.end(), is_worse);
-    ranked_.push_back(open_.back());
-    open_.pop_back();
+    std::pop_heap(heap_.begin(), heap_.end(), ranks_below);
+    ranked_.push_back(heap_.back());
+    heap_.pop_back();
 }
 
 std::span<const filler_row> worker_index::filler_rows()
@@ -40,15 +40,16 @@
     {
         return filler_rows_;
     }
-    for (const worker_row& one : rows_)
+    for (const worker_row& row : rows_)
     {
-        filler_rows_.push_back({&one, one.filler_left, static_cast<std::uint32_t>(filler_rows_.size())});
+        filler_rows_.push_back(
+            {&row, row.filler_free_milli, static_cast<std::uint32_t>(filler_rows_.size())});
     }
     std::sort(filler_rows_.begin(),
               filler_rows_.end(),
               [](const filler_row& left, const filler_row& right)
               {
-                  return left.room_milli > right.room_milli;
+                  return left.free_milli > right.free_milli;
               });
     return filler_rows_;
 }
--- a/tests/src/unit-dispatcher_fillers.cpp
+++ b/tests/src/unit-dispatcher_fillers.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Single decisions of the dispatcher on fillers beside serving tasks: images, harm and pace.
+/// @brief Single decisions of the dispatcher on fillers beside serving tasks: images, interference and pace.
 
 #include "dispatcher_fixture.hpp"
 
@@ -7,7 +7,7 @@
 using namespace plumspoke::dispatch;
 using namespace plumspoke::dispatch::dispatcher_test;
 
-TEST_CASE("a filler that would harm wherever it goes waits for a while, not for ever")
+TEST_CASE("a filler that would interfere on every worker is placed after a limited wait")
 {
     fixture f;
     f.announce("w1");
@@ -38,11 +38,11 @@
         f.decide(milliseconds(100));
         f.answer_holds(near_its_target);
     }
-    CHECK(f.starts_proposed() == 1); // one of the two: the other doesn't press on the same worker
+    CHECK(f.starts_proposed() == 1); // only one of the two: at most one such filler per worker
     CHECK(f.now > submitted + milliseconds(7900));
 }
 
-TEST_CASE("serving tasks of one image share workers, those of others get workers of their own")
+TEST_CASE("serving tasks of one image share workers, and those of other images run on other workers")
 {
     fixture f;
     f.announce("w1");
@@ -72,7 +72,7 @@
     CHECK(worker_of("d", "image") == first);
 }
 
-TEST_CASE("a new leader sets the pace of fillers that an earlier one may have slowed")
+TEST_CASE("a new leader sets the pace of fillers that an earlier leader may have throttled")
 {
     fixture f;
     f.announce("w1");
@@ -102,7 +102,7 @@
     CHECK(f.sent<pace_order>().empty());
 }
 
-TEST_CASE("what a leader learned of images is recorded, and the next one goes on with it")
+TEST_CASE("learned effects between images are recorded and adopted by the next leader")
 {
     fixture f;
     jobs::round round;
@@ -114,13 +114,13 @@
     CHECK(restored.learned() == f.state.learned());
 
     interference next;
-    next.take_over(restored.learned());
+    next.adopt_recorded(restored.learned());
     CHECK(next.effect("serving", "filler") > 0.85);
     CHECK(next.evidence("serving", "filler") == 5);
     CHECK(next.take_changed().empty()); // recorded already
-    const std::vector<filler_beside> beside = {{next.number_of("filler"), 1}};
-    next.observe(next.number_of("serving"), 1.5, false, beside);
-    next.observe(next.number_of("serving"), 1.5, false, beside);
+    const std::vector<colocated_filler> colocated = {{next.number_of("filler"), 1}};
+    next.observe(next.number_of("serving"), 1.5, false, colocated);
+    next.observe(next.number_of("serving"), 1.5, false, colocated);
     REQUIRE(next.take_changed().size() == 1);
     CHECK(next.take_changed().empty());
 }
@@ -129,9 +129,9 @@
 {
 
 /// @brief Two serving tasks of one job on two workers, and a filler beside one of them.
-struct beside_serving
+struct filler_beside_serving
 {
-    beside_serving()
+    filler_beside_serving()
     {
         f.announce("w1");
         f.announce("w2");
@@ -150,10 +150,10 @@
         filler.image = "filler";
         filler.saves_progress = true;
         f.submit(filler, "filling");
-        report(calm_ms, calm_ms);
+        report(undisturbed_ms, undisturbed_ms);
         start_all();
-        report(calm_ms, calm_ms);
-        REQUIRE(filling() != nullptr);
+        report(undisturbed_ms, undisturbed_ms);
+        REQUIRE(find_filler() != nullptr);
     }
 
     void start_all()
@@ -167,7 +167,7 @@
         }
     }
 
-    const run_view* filling()
+    const run_view* find_filler()
     {
         for (const auto& [name, run] : f.leader.runs())
         {
@@ -179,10 +179,12 @@
         return nullptr;
     }
 
-    /// @brief One round of polls: the serving task beside the filler has this tail, the other that one.
+    /// @brief Answers one round of polls.
+    /// @param beside_ms tail latency of the serving task beside the filler
+    /// @param other_ms tail latency of the other serving task
     void report(std::int64_t beside_ms, std::int64_t other_ms)
     {
-        const run_view* filler = filling();
+        const run_view* filler = find_filler();
         ++percent;
         std::vector<running_row> rows;
         for (const auto& [name, run] : f.leader.runs())
@@ -212,87 +214,87 @@
     }
 
     static constexpr std::int64_t target_ms = 50;
-    static constexpr std::int64_t calm_ms = 15;
+    static constexpr std::int64_t undisturbed_ms = 15;
     fixture f;
-    std::int64_t percent = 0; // of the filler: it goes on
+    std::int64_t percent = 0; // progress of the filler
     std::vector<std::uint32_t> paces;
     bool stopped = false;
 };
 
 } // namespace
 
-// Load: serving tasks that use two thirds of what they reserve, at the peak of their own load. A constant for
-// the least slack that own load leaves took each such peak for harm done by the fillers, and nothing of them
-// was done (0.05 of their worth in place of 0.2, on days with such a load).
-TEST_CASE("a filler is not slowed for what the serving tasks' own load does")
+// Guards against throttling fillers for the peaks of the serving tasks' own load, here two thirds of what
+// they reserve. With a constant for the least slack that own load leaves, each peak counted as interference,
+// and fillers earned 0.05 of their value instead of 0.2 under such a load.
+TEST_CASE("a filler is not throttled for the effect of the serving tasks' own load")
 {
-    beside_serving beside;
+    filler_beside_serving setup;
     constexpr std::int64_t peak_ms = 45; // slack 1.1 on both workers
-    for (std::int64_t tail_ms = beside_serving::calm_ms; tail_ms <= peak_ms; ++tail_ms)
+    for (std::int64_t tail_ms = filler_beside_serving::undisturbed_ms; tail_ms <= peak_ms; ++tail_ms)
     {
-        beside.report(tail_ms, tail_ms);
+        setup.report(tail_ms, tail_ms);
     }
     for (int i = 0; i < 30; ++i)
     {
-        beside.report(peak_ms, peak_ms);
+        setup.report(peak_ms, peak_ms);
     }
-    CHECK(beside.paces.empty());
-    CHECK_FALSE(beside.stopped);
+    CHECK(setup.paces.empty());
+    CHECK_FALSE(setup.stopped);
 }
 
-TEST_CASE("a filler is slowed where its serving task lags behind a sibling that nothing disturbs")
+TEST_CASE("a filler is throttled when the serving task beside it lags behind an undisturbed sibling")
 {
-    beside_serving beside;
-    for (int i = 0; i < 30 && beside.paces.empty(); ++i)
+    filler_beside_serving setup;
+    for (int i = 0; i < 30 && setup.paces.empty(); ++i)
     {
-        beside.report(48, 20);
+        setup.report(48, 20);
     }
-    REQUIRE_FALSE(beside.paces.empty());
-    CHECK(beside.paces.front() < 100);
+    REQUIRE_FALSE(setup.paces.empty());
+    CHECK(setup.paces.front() < 100);
 }
 
-// Load: 1,800 workers with fillers beside what serves. Asked twice a second each, whatever their slack was,
-// they took two fifths of their leader's processor.
-TEST_CASE("a worker is asked twice a second only while a serving task there is near its target")
+// Guards against polling all workers at the higher rate: with 1,800 workers that run fillers beside serving
+// tasks, polling each twice a second took two fifths of the leader's processor.
+TEST_CASE("a worker is polled twice a second only while one of its serving tasks is near the target")
 {
-    beside_serving beside;
-    const auto next_wait_ms = [&beside]
+    filler_beside_serving setup;
+    const auto next_poll_wait_ms = [&setup]
     {
-        beside.f.decide();
-        const fleet::worker_life worker = beside.filling()->worker;
-        const auto asked = std::find_if(beside.f.open_holds.begin(),
-                                        beside.f.open_holds.end(),
-                                        [&worker](const hold_order& one)
-                                        {
-                                            return one.to.worker == worker;
-                                        });
-        REQUIRE(asked != beside.f.open_holds.end());
-        return asked->wait_ms;
+        setup.f.decide();
+        const fleet::worker_life worker = setup.find_filler()->worker;
+        const auto poll = std::find_if(setup.f.open_holds.begin(),
+                                       setup.f.open_holds.end(),
+                                       [&worker](const hold_order& one)
+                                       {
+                                           return one.to.worker == worker;
+                                       });
+        REQUIRE(poll != setup.f.open_holds.end());
+        return poll->wait_ms;
     };
     const dispatch_options limits;
-    CHECK(next_wait_ms() == limits.watched_poll_wait.count()); // what the filler does isn't known yet
+    CHECK(next_poll_wait_ms() == limits.watched_poll_wait.count()); // the filler's effect is not known yet
     for (int i = 0; i < 10; ++i)
     {
-        beside.report(beside_serving::calm_ms, beside_serving::calm_ms);
+        setup.report(filler_beside_serving::undisturbed_ms, filler_beside_serving::undisturbed_ms);
     }
-    CHECK(next_wait_ms() == limits.poll_wait.count());
-    beside.report(29, 29); // slack 1.72
-    CHECK(next_wait_ms() == limits.poll_wait.count());
-    beside.report(30, 30); // slack 1.67
-    CHECK(next_wait_ms() == limits.watched_poll_wait.count());
+    CHECK(next_poll_wait_ms() == limits.poll_wait.count());
+    setup.report(29, 29); // slack 1.72
+    CHECK(next_poll_wait_ms() == limits.poll_wait.count());
+    setup.report(30, 30); // slack 1.67
+    CHECK(next_poll_wait_ms() == limits.watched_poll_wait.count());
 }
 
-// Symptom: a serving task was over its target for more than four seconds beside fillers. Sequence: its figure
-// is rough, and now and then one report in a row of bad ones is just under the target. Cause: each of these
-// began the count anew, so the fillers were never ended.
-TEST_CASE("one report that is just under the target doesn't end a time over it")
+// Guards against a serving task that stays over its target for more than four seconds beside fillers.
+// Measurements are noisy, so now and then a report among bad ones is just under the target. When each of
+// those restarted the count, the fillers were never stopped.
+TEST_CASE("one report just under the target doesn't end the period over it")
 {
-    beside_serving beside;
-    const time_point begun = beside.f.now;
-    for (int i = 0; !beside.stopped && beside.f.now < begun + seconds(10); ++i)
+    filler_beside_serving setup;
+    const time_point begun = setup.f.now;
+    for (int i = 0; !setup.stopped && setup.f.now < begun + seconds(10); ++i)
     {
-        beside.report(i % 8 == 7 ? 48 : 55, 20);
+        setup.report(i % 8 == 7 ? 48 : 55, 20);
     }
-    CHECK(beside.stopped);
-    CHECK(beside.f.now < begun + milliseconds(3500));
+    CHECK(setup.stopped);
+    CHECK(setup.f.now < begun + milliseconds(3500));
 }
--- a/tests/src/unit-fleet_and_interference.cpp
+++ b/tests/src/unit-fleet_and_interference.cpp
@@ -1,5 +1,6 @@
 /// @file
-/// @brief What a control VM has heard from workers; a worker's clock; effects between images.
+/// @brief The registry of workers on a control VM, the estimate of a worker's clock, and effects between
+/// images.
 
 #include "plumspoke/dispatch/interference.hpp"
 #include "plumspoke/dispatch/worker_clock.hpp"
@@ -14,7 +15,7 @@
 
 const time_point start{seconds(100)};
 
-fleet::announcement heard(const std::string& id, std::uint64_t sequence)
+fleet::announcement make_announcement(const std::string& id, std::uint64_t sequence)
 {
     fleet::announcement out;
     out.life.id = id;
@@ -25,19 +26,19 @@
 
 } // namespace
 
-TEST_CASE("the registry relays what the leader doesn't have")
+TEST_CASE("the registry relays announcements that the leader doesn't have")
 {
     fleet::registry registry;
-    CHECK(registry.receive(start, heard("w", 2)));
+    CHECK(registry.receive(start, make_announcement("w", 2)));
 
-    SECTION("a late announcement is passed over")
+    SECTION("an outdated announcement is ignored")
     {
-        fleet::announcement late = heard("w", 1);
+        fleet::announcement late = make_announcement("w", 1);
         late.address = "old";
         CHECK_FALSE(registry.receive(start, late));
         CHECK(registry.find({"w"})->address == "address");
     }
-    SECTION("whole at first, then only that it is alive, then whole to a new leader")
+    SECTION("in full at first, then only that the worker is alive, and in full again to a new leader")
     {
         CHECK_FALSE(registry.is_relayed(5, {"w"}));
         const auto changed = registry.changed_since_relay(5);
@@ -46,15 +47,15 @@
         CHECK(registry.is_relayed(5, {"w"}));
         CHECK(registry.changed_since_relay(5).empty());
         CHECK(registry.alive_since_relay(5).empty());
-        CHECK(registry.receive(start, heard("w", 3)));
+        CHECK(registry.receive(start, make_announcement("w", 3)));
         CHECK(registry.is_relayed(5, {"w"}));
         CHECK(registry.alive_since_relay(5) == std::vector<fleet::worker_life>{{"w"}});
         CHECK(registry.changed_since_relay(6).size() == 1);
     }
-    SECTION("whole again where it says something new, or the leader has forgotten it")
+    SECTION("in full again after a change, or when the leader no longer knows the worker")
     {
         registry.note_relayed(5, registry.changed_since_relay(5));
-        fleet::announcement leaving = heard("w", 3);
+        fleet::announcement leaving = make_announcement("w", 3);
         leaving.state = fleet::worker_state::draining;
         CHECK(registry.receive(start, leaving));
         CHECK_FALSE(registry.is_relayed(5, {"w"}));
@@ -62,9 +63,9 @@
         registry.note_unknown({{"w"}});
         CHECK_FALSE(registry.is_relayed(5, {"w"}));
     }
-    SECTION("a goodbye is told, and silence forgets")
+    SECTION("a goodbye is relayed, and silent workers are removed")
     {
-        fleet::announcement leaving = heard("w", 3);
+        fleet::announcement leaving = make_announcement("w", 3);
         leaving.state = fleet::worker_state::draining;
         CHECK(registry.receive(start, leaving));
         CHECK(registry.say_goodbye(start, "w").size() == 1);
@@ -74,23 +75,23 @@
     }
 }
 
-TEST_CASE("a goodbye names no life: it is that of the one that was leaving")
+TEST_CASE("a goodbye, which names no life, applies to the life that was leaving")
 {
     fleet::registry registry;
-    fleet::announcement next = heard("w", 1);
+    fleet::announcement next = make_announcement("w", 1);
     next.life.born_ms = 7;
     CHECK(registry.receive(start, next));
 
-    SECTION("and not of the next one, on which tasks run by then")
+    SECTION("and not to the next life, which may run tasks by then")
     {
-        fleet::announcement leaving = heard("w", 90);
+        fleet::announcement leaving = make_announcement("w", 90);
         leaving.state = fleet::worker_state::draining;
         CHECK(registry.receive(start, leaving));
         REQUIRE(registry.say_goodbye(start, "w").size() == 1);
         CHECK(registry.find({"w"})->state == fleet::worker_state::gone);
         CHECK(registry.find(next.life)->state == fleet::worker_state::ready);
     }
-    SECTION("where none is known to leave, it is only a reason to ask")
+    SECTION("if no life is known to be leaving, the worker becomes doubtful until it announces itself again")
     {
         REQUIRE(registry.say_goodbye(start, "w").size() == 1);
         CHECK(registry.find(next.life)->state == fleet::worker_state::doubtful);
@@ -101,19 +102,19 @@
     }
 }
 
-TEST_CASE("a worker's clock is never thought to be ahead of itself")
+TEST_CASE("the estimate of a worker's clock is never ahead of that clock")
 {
     dispatch::worker_clock clock(0.98);
     CHECK_FALSE(clock.known());
     clock.observe(10'000, start);
     CHECK(clock.at_least(start + seconds(10)) == 19'800);
 
-    SECTION("an answer that was overtaken changes nothing")
+    SECTION("an answer that arrives out of order changes nothing")
     {
         clock.observe(10'100, start + seconds(5));
         CHECK(clock.at_least(start + seconds(10)) == 19'800);
     }
-    SECTION("a time is past only when the slowest clock has reached it")
+    SECTION("a time is past only once the slowest permitted clock has reached it")
     {
         CHECK(clock.surely_past(14'000) > start + milliseconds(4080));
         CHECK(clock.surely_past(14'000) < start + milliseconds(4085));
@@ -121,37 +122,37 @@
     }
 }
 
-TEST_CASE("effects between images are told apart")
+TEST_CASE("effects are estimated separately for each pair of images")
 {
-    dispatch::interference known;
-    const dispatch::image_number serving = known.number_of("s");
-    const dispatch::image_number harmful = known.number_of("harmful");
-    const dispatch::image_number harmless = known.number_of("harmless");
-    const double unknown = known.effect("s", "harmful");
+    dispatch::interference estimates;
+    const dispatch::image_number serving = estimates.number_of("s");
+    const dispatch::image_number harmful = estimates.number_of("harmful");
+    const dispatch::image_number harmless = estimates.number_of("harmless");
+    const double unknown = estimates.effect("s", "harmful");
     CHECK(unknown > 0.2);
     for (int i = 0; i < 20; ++i)
     {
-        const std::vector<dispatch::filler_beside> both = {{harmful, 1}, {harmless, 1}};
-        const std::vector<dispatch::filler_beside> one = {{harmless, 1}};
-        known.observe(serving, 1.2, false, both);
-        known.observe(serving, 0.0, false, one);
+        const std::vector<dispatch::colocated_filler> both = {{harmful, 1}, {harmless, 1}};
+        const std::vector<dispatch::colocated_filler> one = {{harmless, 1}};
+        estimates.observe(serving, 1.2, false, both);
+        estimates.observe(serving, 0.0, false, one);
     }
-    CHECK(known.effect("s", "harmful") > 0.8);
-    CHECK(known.effect("s", "harmless") < 0.2);
-    CHECK(known.effect("other", "harmful") == unknown);
+    CHECK(estimates.effect("s", "harmful") > 0.8);
+    CHECK(estimates.effect("s", "harmless") < 0.2);
+    CHECK(estimates.effect("other", "harmful") == unknown);
 
     SECTION("a saturated report never lowers an effect")
     {
-        const double before = known.effect("s", "harmful");
-        const std::vector<dispatch::filler_beside> one = {{harmful, 1}};
-        known.observe(serving, 0.5, true, one);
-        CHECK(known.effect("s", "harmful") == before);
+        const double before = estimates.effect("s", "harmful");
+        const std::vector<dispatch::colocated_filler> one = {{harmful, 1}};
+        estimates.observe(serving, 0.5, true, one);
+        CHECK(estimates.effect("s", "harmful") == before);
     }
-    SECTION("a filler that stands still tells nothing")
+    SECTION("a report beside a paused filler changes no effect")
     {
-        const double before = known.effect("s", "harmful");
-        const std::vector<dispatch::filler_beside> still = {{harmful, 0}};
-        known.observe(serving, 0.0, false, still);
-        CHECK(known.effect("s", "harmful") == before);
+        const double before = estimates.effect("s", "harmful");
+        const std::vector<dispatch::colocated_filler> paused = {{harmful, 0}};
+        estimates.observe(serving, 0.0, false, paused);
+        CHECK(estimates.effect("s", "harmful") == before);
     }
 }
--- a/tests/src/unit-large_fleet.cpp
+++ b/tests/src/unit-large_fleet.cpp
@@ -95,11 +95,11 @@
         return std::vector<indexed_worker>{{&one, 1, 100}, {&other, 3, 100}, {&equal, 1, 100}};
     };
     worker_ranking& found = index.find({task_kind::filler, 2}, ask);
-    CHECK(found.at(0)->on == &other);
-    CHECK(found.at(1)->on == &one); // of equal ones the first that was named
-    CHECK(found.at(2)->on == &equal);
+    CHECK(found.at(0)->worker == &other);
+    CHECK(found.at(1)->worker == &one); // of equal ones the first that was named
+    CHECK(found.at(2)->worker == &equal);
     CHECK(found.at(3) == nullptr);
-    CHECK(found.at(0)->on == &other);
+    CHECK(found.at(0)->worker == &other);
     (void)index.find({task_kind::filler, 2}, ask);
     CHECK(asked == 1);
     (void)index.find({task_kind::filler, 3}, ask);
@@ -125,18 +125,19 @@
         {
             return std::nullopt; // it would harm there
         }
-        return indexed_worker{nullptr, static_cast<double>(of.filler_left) - of.handicap, of.filler_left};
+        return indexed_worker{
+            nullptr, static_cast<double>(of.filler_free_milli) - of.penalty, of.filler_free_milli};
     };
     for (worker_row& of : rows)
     {
-        of.filler_left = 1000 * (between(random) / 10); // many are equal
-        of.handicap = between(random) < 50 ? 0 : 100 * between(random);
+        of.filler_free_milli = 1000 * (between(random) / 10); // many are equal
+        of.penalty = between(random) < 50 ? 0 : 100 * between(random);
         of.serving_runs = between(random) < 20 ? 1 : 0;
         const auto place = static_cast<std::uint32_t>(by_room.size());
-        by_room.push_back({&of, of.filler_left, place});
+        by_room.push_back({&of, of.filler_free_milli, place});
         if (std::optional<indexed_worker> one = judge(of); one.has_value())
         {
-            one->place = place;
+            one->position = place;
             sorted.push_back(*one);
         }
     }
@@ -144,13 +145,13 @@
                      sorted.end(),
                      [](const indexed_worker& left, const indexed_worker& right)
                      {
-                         return left.points > right.points;
+                         return left.score > right.score;
                      });
     std::sort(by_room.begin(),
               by_room.end(),
               [](const filler_row& left, const filler_row& right)
               {
-                  return left.room_milli > right.room_milli;
+                  return left.free_milli > right.free_milli;
               });
     filler_ranking ranking;
     std::size_t judged = 0;
@@ -167,13 +168,13 @@
     for (std::size_t place = 0; place < wanted; ++place)
     {
         REQUIRE(at(place) != nullptr);
-        CHECK(at(place)->place == sorted[place].place);
+        CHECK(at(place)->position == sorted[place].position);
     }
     CHECK(judged < workers / 2);
     for (std::size_t place = wanted; place < sorted.size(); ++place)
     {
         REQUIRE(at(place) != nullptr);
-        CHECK(at(place)->place == sorted[place].place);
+        CHECK(at(place)->position == sorted[place].position);
     }
     CHECK(at(sorted.size()) == nullptr);
     CHECK(judged == workers);
--- a/tests/src/unit-whole_places.cpp
+++ b/tests/src/unit-short_task_headroom.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Whole places for short tasks, when lasting tasks that lost their worker come back.
+/// @brief Headroom for short tasks when lasting tasks that lost their worker are restarted.
 
 #include "dispatcher_fixture.hpp"
 
@@ -21,7 +21,8 @@
     return out;
 }
 
-/// @brief Hands in one lasting task, has it started, and says where.
+/// @brief Submits one lasting task and starts it.
+/// @return the worker that runs it
 std::string
 start_lasting(fixture& f, const std::string& job, std::int64_t cpu_milli, const std::string& image)
 {
@@ -35,7 +36,7 @@
     return sent[0].to.worker.id;
 }
 
-/// @brief All polls are answered: runs of this job have ended, the others go on.
+/// @brief Answers all polls: the runs of this job have ended, all others continue.
 void end_job(fixture& f, const jobs::job_id& job)
 {
     for (const hold_order& one : std::exchange(f.open_holds, {}))
@@ -63,7 +64,7 @@
 
 } // namespace
 
-TEST_CASE("a lasting task that comes back leaves a whole place where another worker has room")
+TEST_CASE("a restarted lasting task leaves a slot for short tasks free if another worker has capacity")
 {
     fixture f;
     const auto add_worker = [&f](const std::string& id)
@@ -76,10 +77,10 @@
     REQUIRE(start_lasting(f, "full one", 13'000, "three") == "lost");
     add_worker("kept");
     REQUIRE(start_lasting(f, "full other", 13'000, "four") == "kept");
-    jobs::step_spec back = lasting_step(2500, "one");
-    back.task_count = 2;
-    back.max_per_worker = 1;
-    f.submit(back, "back", 1);
+    jobs::step_spec restarted = lasting_step(2500, "one");
+    restarted.task_count = 2;
+    restarted.max_per_worker = 1;
+    f.submit(restarted, "back", 1);
     f.decide();
     f.commit();
     f.decide();
@@ -92,10 +93,10 @@
     REQUIRE(start_lasting(f, "a", 7000, "one") == "with place");
     add_worker("with rest");
     REQUIRE(start_lasting(f, "b", 13'000, "two") == "with rest");
-    jobs::step_spec brief;
-    brief.task_count = 1;
-    brief.needs = {8000, 100, 0};
-    f.submit(brief, "short", 0);
+    jobs::step_spec short_task;
+    short_task.task_count = 1;
+    short_task.needs = {8000, 100, 0};
+    f.submit(short_task, "short", 0);
     f.decide();
     f.commit();
     f.decide();
@@ -110,15 +111,15 @@
     }
     REQUIRE(f.state.find("short")->phase == jobs::job_phase::completed);
     f.leader.said_goodbye(f.now, {"lost"});
-    std::string came_back_on;
-    for (int i = 0; i < 60 && came_back_on.empty(); ++i)
+    std::string restarted_on;
+    for (int i = 0; i < 60 && restarted_on.empty(); ++i)
     {
         f.decide(milliseconds(50));
         f.commit();
         for (const start_order& one : f.sent<start_order>())
         {
-            came_back_on = one.name.task.job == jobs::job_id("back") ? one.to.worker.id : came_back_on;
+            restarted_on = one.name.task.job == jobs::job_id("back") ? one.to.worker.id : restarted_on;
         }
     }
-    CHECK(came_back_on == "with rest");
+    CHECK(restarted_on == "with rest");
 }
