--- a/include/plumspoke/dispatch/dispatcher.hpp
+++ b/include/plumspoke/dispatch/dispatcher.hpp
@@ -322,7 +322,7 @@
         restart,          // after losing its worker; respects the headroom for short tasks
         restart_anywhere, // after no worker was found that way; ignores the headroom
     };
-    void place(time_point now, std::int64_t day_ms, const jobs::store& state, jobs::round& into);
+    void place(time_point now, std::int64_t day_ms, const jobs::store& state, jobs::round& round);
     void begin_placement(time_point now);
     /// @brief How many starts a round may hold for a step to be placed.
     struct start_limits
@@ -331,12 +331,12 @@
         std::size_t total = 0;
     };
     /// @return whether the step was within the limits
-    bool place_within_limits(time_point now, const ready_step& step, start_limits limits, jobs::round& into);
+    bool place_within_limits(time_point now, const ready_step& step, start_limits limits, jobs::round& round);
     [[nodiscard]] task_runs runs_of(const jobs::task_name& name) const;
-    void place_step(time_point now, const ready_step& step, jobs::round& into);
+    void place_step(time_point now, const ready_step& step, jobs::round& round);
     void erase_unblocked_steps();
-    void place_waiting_tasks(time_point now, const ready_step& step, bool first_start, jobs::round& into);
-    void place_gang(time_point now, const ready_step& step, jobs::round& into);
+    void place_waiting_tasks(time_point now, const ready_step& step, bool first_start, jobs::round& round);
+    void place_gang(time_point now, const ready_step& step, jobs::round& round);
     /// @brief Whether a task was placed, or why not.
     enum class placement_result : std::uint8_t
     {
@@ -349,7 +349,7 @@
                                 start_kind start,
                                 std::vector<candidate>& candidates,
                                 time_point now,
-                                jobs::round& into);
+                                jobs::round& round);
     [[nodiscard]] std::vector<candidate> find_candidates(time_point now,
                                                          const ready_step& step,
                                                          start_kind start,
@@ -377,7 +377,7 @@
                std::uint32_t index,
                std::uint32_t attempt,
                worker_view& worker,
-               jobs::round& into);
+               jobs::round& round);
 
     // ---- choice of a worker (worker_choice.cpp)
     /// @brief Whether a worker can take a task, or why not.
@@ -542,7 +542,7 @@
     longest_waits longest_waits_; // since the last report
     time_point next_forget_at_{};
     time_point next_record_at_{}; // of what was learned
-    bool room_changed_ = true;
+    bool capacity_changed_ = true;
     std::map<std::string, pool_headroom> headroom_by_pool_;
     time_point next_demand_update_at_{};
     task_times task_times_;
--- a/src/dispatch/answers.cpp
+++ b/src/dispatch/answers.cpp
@@ -118,7 +118,7 @@
     unnamed->hold_in_flight = false;
     unnamed->announced = false;
     unnamed->ends_noted = unnamed->ends_proposed;
-    room_changed_ = true;
+    capacity_changed_ = true;
 }
 
 void dispatcher::end_earlier_lives(time_point now, const worker_view& of, time_point sent_at)
@@ -162,7 +162,7 @@
         ++of->silent_calls;
         if (of->silent_calls == options_.max_silent_calls + 1)
         {
-            room_changed_ = true;
+            capacity_changed_ = true;
             note_changed(*of);
             events_.push_back(logging::event("dispatch", "worker_silent", "A worker doesn't answer.")
                                   .with("worker", of->info.life.id)
@@ -174,7 +174,7 @@
     }
     if (of->silent_calls > 0 || !of->contacted)
     {
-        room_changed_ = true;
+        capacity_changed_ = true;
     }
     if (!of->contacted)
     {
--- a/src/dispatch/bookkeeping.cpp
+++ b/src/dispatch/bookkeeping.cpp
@@ -188,7 +188,7 @@
         note_changed(*on);
     }
     runs_.erase(found);
-    room_changed_ = true;
+    capacity_changed_ = true;
 }
 
 } // namespace plumspoke::dispatch
--- a/src/dispatch/crashes.cpp
+++ b/src/dispatch/crashes.cpp
@@ -126,7 +126,7 @@
     of.ends_noted = of.ends_proposed;
     of.ends_told = of.ends_proposed;
     of.over_at.reset();
-    room_changed_ = true;
+    capacity_changed_ = true;
     note_changed(of);
 }
 
--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -116,7 +116,7 @@
     of.announced_at = now;
     if (is_news)
     {
-        room_changed_ = true; // else each of some 450 announcements a second would lead to a placement
+        capacity_changed_ = true; // else each of some 450 announcements a second would lead to a placement
         note_changed(of);
     }
     if (first)
@@ -182,7 +182,7 @@
     }
     // It ends right after the goodbye; half a second covers a slow way out.
     of->over_at = now + milliseconds(500);
-    room_changed_ = true;
+    capacity_changed_ = true;
     note_changed(*of);
 }
 
--- a/src/dispatch/placement.cpp
+++ b/src/dispatch/placement.cpp
@@ -42,7 +42,7 @@
     extra_starts_ = extra_urgent_starts;
 }
 
-void dispatcher::place(time_point now, std::int64_t day_ms, const jobs::store& state, jobs::round& into)
+void dispatcher::place(time_point now, std::int64_t day_ms, const jobs::store& state, jobs::round& round)
 {
     const metrics::measured_part placing(metrics::loop_part::place);
     begin_placement(now);
@@ -59,7 +59,7 @@
         for (const ready_step* step : std::exchange(limited_lasting, {}))
         {
             all_within_limits =
-                place_within_limits(now, *step, {max_starts, max_starts}, into) && all_within_limits;
+                place_within_limits(now, *step, {max_starts, max_starts}, round) && all_within_limits;
         }
     };
     for (const ready_step& step : ready)
@@ -67,8 +67,8 @@
         const std::size_t limit = limits.at(static_cast<std::size_t>(step.kind()));
         if (step.spec->lasting && limit < max_starts)
         {
-            (void)place_within_limits(now, step, {limit, max_starts}, into);
-            if (into.starts.size() >= limit)
+            (void)place_within_limits(now, step, {limit, max_starts}, round);
+            if (round.starts.size() >= limit)
             {
                 limited_lasting.push_back(&step);
             }
@@ -78,7 +78,7 @@
         {
             place_limited_lasting();
         }
-        all_within_limits = place_within_limits(now, step, {limit, max_starts}, into) && all_within_limits;
+        all_within_limits = place_within_limits(now, step, {limit, max_starts}, round) && all_within_limits;
     }
     place_limited_lasting();
     ++window_.placements;
@@ -86,8 +86,8 @@
     report_placements(now, ready);
     if (!all_within_limits)
     {
-        room_changed_ = true;   // the remaining steps are placed in the next round
-        blocked_steps_.clear(); // steps that were not tried have outdated entries
+        capacity_changed_ = true; // the remaining steps are placed in the next round
+        blocked_steps_.clear();   // steps that were not tried have outdated entries
         return;
     }
     if (considers_fillers_)
@@ -99,9 +99,9 @@
 bool dispatcher::place_within_limits(time_point now,
                                      const ready_step& step,
                                      start_limits limits,
-                                     jobs::round& into)
+                                     jobs::round& round)
 {
-    const std::size_t before = into.starts.size();
+    const std::size_t before = round.starts.size();
     const bool is_within_limit = before < limits.per_kind;
     // An overloaded leader would starve low priorities for as long as tasks of higher ones arrive: a step
     // that has waited for long may start one task.
@@ -112,8 +112,8 @@
         return false;
     }
     starts_limit_ = is_within_limit ? limits.per_kind : before + 1;
-    place_step(now, step, into);
-    extra_starts_ -= is_within_limit ? 0 : into.starts.size() - before;
+    place_step(now, step, round);
+    extra_starts_ -= is_within_limit ? 0 : round.starts.size() - before;
     return is_within_limit;
 }
 
@@ -208,27 +208,27 @@
     return found;
 }
 
-void dispatcher::place_step(time_point now, const ready_step& step, jobs::round& into)
+void dispatcher::place_step(time_point now, const ready_step& step, jobs::round& round)
 {
     if (step.spec->gang)
     {
-        place_gang(now, step, into);
+        place_gang(now, step, round);
         return;
     }
-    const std::size_t before = into.starts.size();
-    place_waiting_tasks(now, step, false, into);
-    place_waiting_tasks(now, step, true, into);
-    if (into.starts.size() > before)
+    const std::size_t before = round.starts.size();
+    place_waiting_tasks(now, step, false, round);
+    place_waiting_tasks(now, step, true, round);
+    if (round.starts.size() > before)
     {
-        const jobs::run_started& first = into.starts[before];
-        const auto count = static_cast<std::int64_t>(into.starts.size() - before);
+        const jobs::run_started& first = round.starts[before];
+        const auto count = static_cast<std::int64_t>(round.starts.size() - before);
         kind_counts& counts = window_.of(step.kind());
         counts.granted_late += step.worth == worth_class::late ? count : 0;
         counts.granted_hopeless += step.worth == worth_class::hopeless ? count : 0;
-        const duration queued = queueing_time(now, into.at_ms, step);
-        for (std::size_t at = before; at < into.starts.size(); ++at)
+        const duration queued = queueing_time(now, round.at_ms, step);
+        for (std::size_t i = before; i < round.starts.size(); ++i)
         {
-            if (into.starts[at].name.attempt == 1)
+            if (round.starts[i].name.attempt == 1)
             {
                 stage_delays_.record(step.kind(), task_stage::queued, queued);
             }
@@ -266,7 +266,7 @@
 void dispatcher::place_waiting_tasks(time_point now,
                                      const ready_step& step,
                                      bool first_start,
-                                     jobs::round& into)
+                                     jobs::round& round)
 {
     const std::vector<jobs::task>& tasks = step.state().tasks;
     const step_id id{step.job->order, step.at->number, step.step, first_start};
@@ -281,9 +281,9 @@
     };
     for (std::uint32_t index = 0; index < tasks.size(); ++index)
     {
-        if (into.starts.size() >= starts_limit_)
+        if (round.starts.size() >= starts_limit_)
         {
-            room_changed_ = true; // the remaining tasks of the step are placed in the next round
+            capacity_changed_ = true; // the remaining tasks of the step are placed in the next round
             return;
         }
         const bool may_need_run = !tasks[index].runs.empty() ? step.spec->copies_allowed
@@ -303,13 +303,13 @@
             update_candidates(tasks.size() - index);
         }
         const bool wants_copy = step.spec->copies_allowed && copy_wanted_.contains(task.name);
-        placement_result result = place_task(step, task, start, *candidates, now, into);
+        placement_result result = place_task(step, task, start, *candidates, now, round);
         if (result == placement_result::no_worker && start == start_kind::restart && step.spec->lasting)
         {
             start =
                 start_kind::restart_anywhere; // a restart takes precedence over the headroom for short tasks
             update_candidates(tasks.size() - index);
-            result = place_task(step, task, start, *candidates, now, into);
+            result = place_task(step, task, start, *candidates, now, round);
         }
         if (result != placement_result::no_worker || wants_copy)
         {
@@ -335,7 +335,7 @@
                                                     start_kind start,
                                                     std::vector<candidate>& candidates,
                                                     time_point now,
-                                                    jobs::round& into)
+                                                    jobs::round& round)
 {
     const jobs::task& recorded = step.state().tasks[task.name.index];
     worker_view* worker = choose_worker(now, step, task, start, {}, candidates);
@@ -353,7 +353,7 @@
     }
     // The state doesn't contain the attempt number of a run whose record is not committed yet.
     const std::uint32_t last = std::max(recorded.last_attempt, task.runs.last_attempt);
-    grant(now, step, task.name.index, last + 1, *worker, into);
+    grant(now, step, task.name.index, last + 1, *worker, round);
     // Only the score and eligibility of the chosen worker have changed.
     const auto chosen = std::find_if(candidates.begin(),
                                      candidates.end(),
@@ -372,7 +372,7 @@
     return placement_result::placed;
 }
 
-void dispatcher::place_gang(time_point now, const ready_step& step, jobs::round& into)
+void dispatcher::place_gang(time_point now, const ready_step& step, jobs::round& round)
 {
     const std::vector<jobs::task>& tasks = step.state().tasks;
     std::uint32_t attempt = 0;
@@ -384,7 +384,7 @@
         }
         attempt = std::max(attempt, tasks[index].last_attempt);
     }
-    const std::size_t starts_before = into.starts.size();
+    const std::size_t starts_before = round.starts.size();
     std::string rack;
     for (std::uint32_t index = 0; index < tasks.size(); ++index)
     {
@@ -394,10 +394,10 @@
         worker_view* worker = choose_worker(now, step, task, start, rack, scan_all_workers(now, step, start));
         if (worker == nullptr)
         {
-            while (into.starts.size() > starts_before)
+            while (round.starts.size() > starts_before)
             {
-                remove_run(into.starts.back().name);
-                into.starts.pop_back();
+                remove_run(round.starts.back().name);
+                round.starts.pop_back();
             }
             return;
         }
@@ -405,7 +405,7 @@
         {
             rack = worker->info.rack;
         }
-        grant(now, step, index, attempt + 1, *worker, into);
+        grant(now, step, index, attempt + 1, *worker, round);
     }
 }
 
@@ -414,14 +414,14 @@
                        std::uint32_t index,
                        std::uint32_t attempt,
                        worker_view& worker,
-                       jobs::round& into)
+                       jobs::round& round)
 {
     run_view added = make_run_view({step.task(index), attempt}, worker.info.life, *step.job);
     added.granted_at = now;
     kind_counts& counts = window_.of(step.kind());
     ++counts.granted;
     counts.granted_restarts += attempt > 1 ? 1 : 0;
-    into.starts.push_back({added.name, worker.info.life, worker.info.address});
+    round.starts.push_back({added.name, worker.info.life, worker.info.address});
     add_run(std::move(added));
     if (!worker.granted)
     {
--- a/src/dispatch/rounds.cpp
+++ b/src/dispatch/rounds.cpp
@@ -68,14 +68,14 @@
     find_due(day_ms, state, planned);
     record_learned(now, planned);
     considers_fillers_ = false;
-    const bool due = room_changed_ || placed_revision_ != state.revision() || now >= next_placement_at_;
+    const bool due = capacity_changed_ || placed_revision_ != state.revision() || now >= next_placement_at_;
     if (due)
     {
-        room_changed_ = false;
+        capacity_changed_ = false;
         placed_revision_ = state.revision();
         next_placement_at_ = now + placement_interval;
         place(now, day_ms, state, planned);
-        room_changed_ = room_changed_ || !considers_fillers_;
+        capacity_changed_ = capacity_changed_ || !considers_fillers_;
     }
     if (now >= next_forget_at_)
     {
@@ -200,7 +200,7 @@
     }
     const round_proposal round = std::move(found->second);
     in_flight_.erase(found);
-    room_changed_ = true;
+    capacity_changed_ = true;
     settle_starts(now, round, accepted);
     if (accepted.has_value())
     {
--- a/src/dispatch/worker_choice.cpp
+++ b/src/dispatch/worker_choice.cpp
@@ -18,7 +18,8 @@
 // Thousandths of a core subtracted from a worker's score for each point of blame.
 constexpr double blame_cost = 8000;
 constexpr double off_rack_cost = 30'000; // more than any difference in free processors
-constexpr double unproven_cost = 16'000; // on workers without proof, for a task that has failed before
+constexpr double unproven_cost =
+    16'000; // for a task that failed before, on a worker without successes or with failures
 // Share of a worker's processors. Serving tasks of one image are colocated, so that fillers that interfere
 // with that image are kept off fewer workers. Above 2 an empty worker is preferred to one that serves another
 // image.
