--- a/include/plumspoke/dispatch/counts.hpp
+++ b/include/plumspoke/dispatch/counts.hpp
@@ -24,10 +24,10 @@
 };
 
 /// @brief How the leader learns that a worker's life is over.
-enum class life_end : std::uint8_t
+enum class life_end_cause : std::uint8_t
 {
-    goodbye, // it said so and left
-    crash,   // another life answers at its address
+    departure, // it said so and left
+    crash,     // another life answers at its address
 };
 
 /// @brief What was open with a worker when its lease lapsed, as this leader sees it.
@@ -43,22 +43,22 @@
 inline constexpr std::size_t lapse_cause_count = 6;
 
 /// @brief Who found that a lease had lapsed.
-enum class lapse_finder : std::uint8_t
+enum class lapse_detector : std::uint8_t
 {
     leader, // by its bound of the worker's clock
     worker, // by its own clock; it lists the end
 };
-inline constexpr std::size_t lapse_finder_count = 2;
+inline constexpr std::size_t lapse_detector_count = 2;
 
 /// @brief Says it for log lines.
-[[nodiscard]] std::string_view to_string(life_end value) noexcept;
+[[nodiscard]] std::string_view to_string(life_end_cause value) noexcept;
 
 /// @brief The names, for log lines and labels.
 [[nodiscard]] std::string_view to_string(lapse_cause value) noexcept;
-[[nodiscard]] std::string_view to_string(lapse_finder value) noexcept;
+[[nodiscard]] std::string_view to_string(lapse_detector value) noexcept;
 
 /// @brief Lapsed runs by who found it, and by cause.
-using lapse_counts = std::array<std::array<std::uint64_t, lapse_cause_count>, lapse_finder_count>;
+using lapse_counts = std::array<std::array<std::uint64_t, lapse_cause_count>, lapse_detector_count>;
 
 /// @brief Counts for metrics.
 struct dispatch_counts
@@ -67,8 +67,8 @@
     std::uint64_t starts_rejected_no_room = 0;
     std::uint64_t starts_rejected_other = 0;
     std::uint64_t starts_unanswered = 0;
-    std::uint64_t holds = 0;
-    std::uint64_t holds_unanswered = 0;
+    std::uint64_t polls = 0;
+    std::uint64_t polls_unanswered = 0;
     std::uint64_t stops_ordered = 0;
     std::uint64_t paces_ordered = 0;
     std::uint64_t ends_done = 0;
@@ -82,7 +82,7 @@
     std::uint64_t ends_not_begun = 0;
     std::uint64_t workers_set_aside = 0;
     std::uint64_t copies = 0;
-    std::uint64_t moved_standstill = 0;
+    std::uint64_t moved_stalled = 0;
     std::uint64_t moved_straggler = 0;
     std::uint64_t moved_drain = 0;
     std::uint64_t moved_pace = 0;
--- a/include/plumspoke/dispatch/decision_pace.hpp
+++ b/include/plumspoke/dispatch/decision_rate_limiter.hpp
@@ -15,7 +15,7 @@
 ///
 /// What happens meanwhile is taken into one decision. Time is counted by the clock, not by the processor: a
 /// leader that is kept from running decides less often too.
-class decision_pace
+class decision_rate_limiter
 {
   public:
     /// @brief When the next decision may be made.
@@ -25,9 +25,9 @@
     }
 
     /// @brief Takes note of a decision.
-    void note(time_point begun, time_point ended) noexcept
+    void record(time_point begun, time_point ended) noexcept
     {
-        next_at_ = ended + std::min<time_point::duration>(rest_factor * (ended - begun), longest_rest);
+        next_at_ = ended + std::min<time_point::duration>(pause_factor * (ended - begun), max_pause);
     }
 
     /// @brief Whether a decision gives way to the heartbeats that renew the leader's own lease.
@@ -37,39 +37,39 @@
     /// them with the decisions; a term that ends for want of a renewal costs every run's lease and a
     /// take-over, and makes more to do for the next leader. A decision put off by a fifth of a second costs a
     /// few starts.
-    [[nodiscard]] bool gives_way(time_point now, duration lease_left) noexcept
+    [[nodiscard]] bool should_defer(time_point now, duration lease_left) noexcept
     {
-        if (lease_left >= least_lease_left)
+        if (lease_left >= min_lease_left)
         {
-            giving_way_since_ = time_point{};
+            deferring_since_ = time_point{};
             return false;
         }
-        if (giving_way_since_ == time_point{})
+        if (deferring_since_ == time_point{})
         {
-            giving_way_since_ = now;
+            deferring_since_ = now;
         }
-        if (now < giving_way_since_ + longest_giving_way)
+        if (now < deferring_since_ + max_deferral)
         {
             return true;
         }
-        giving_way_since_ = now; // one decision; where peers are always slow, one each time
+        deferring_since_ = now; // one decision; where peers are always slow, one each time
         return false;
     }
 
   private:
     // A lease lasts 600 ms after the heartbeat that renewed it, and one is sent each 150 ms: with less than
     // this left two in a row are missing.
-    static constexpr duration least_lease_left = milliseconds(250);
+    static constexpr duration min_lease_left = milliseconds(250);
     // Renewals of workers' leases are due once a second.
-    static constexpr duration longest_giving_way = milliseconds(200);
+    static constexpr duration max_deferral = milliseconds(200);
     // Decisions of up to 17 ms take a quarter of the time at most; the bound on the rest keeps longer ones
     // going.
-    static constexpr int rest_factor = 3;
+    static constexpr int pause_factor = 3;
     // A start waits for its record for some 15 ms anyway, and a renewal is due once a second.
-    static constexpr duration longest_rest = milliseconds(50);
+    static constexpr duration max_pause = milliseconds(50);
 
     time_point next_at_{};
-    time_point giving_way_since_{};
+    time_point deferring_since_{};
 };
 
 } // namespace plumspoke::dispatch
--- a/include/plumspoke/dispatch/dispatcher.hpp
+++ b/include/plumspoke/dispatch/dispatcher.hpp
@@ -18,13 +18,13 @@
 #include "plumspoke/dispatch/held_tasks.hpp"
 #include "plumspoke/dispatch/interference.hpp"
 #include "plumspoke/dispatch/options.hpp"
+#include "plumspoke/dispatch/overload_controller.hpp"
 #include "plumspoke/dispatch/placement_counts.hpp"
 #include "plumspoke/dispatch/recent_crashes.hpp"
-#include "plumspoke/dispatch/retry_pauses.hpp"
+#include "plumspoke/dispatch/retry_backoff.hpp"
 #include "plumspoke/dispatch/short_task_room.hpp"
 #include "plumspoke/dispatch/stage_delays.hpp"
-#include "plumspoke/dispatch/strain.hpp"
-#include "plumspoke/dispatch/task_times.hpp"
+#include "plumspoke/dispatch/step_duration_predictor.hpp"
 #include "plumspoke/dispatch/worker_index.hpp"
 #include "plumspoke/dispatch/worker_view.hpp"
 #include "plumspoke/jobs/store.hpp"
@@ -70,7 +70,7 @@
     void lead(time_point now, std::uint64_t term, const jobs::store& state);
 
     /// @brief Forgets all; nothing is decided until the next term.
-    void retire();
+    void step_down();
     /// @}
 
     /// @name events
@@ -78,18 +78,18 @@
     void announced(time_point now, const fleet::announcement& heard);
 
     /// @return false where the worker is not known here: it has to be announced whole
-    bool still_alive(time_point now, const fleet::worker_life& worker);
+    bool refresh_liveness(time_point now, const fleet::worker_life& worker);
 
-    void said_goodbye(time_point now, const fleet::worker_life& worker);
+    void departed(time_point now, const fleet::worker_life& worker);
     void answered(time_point now, const sent_order& sent, const worker_answer& got);
 
     /// @param accepted which starts were recorded; nothing where the round was not committed
     void round_ended(time_point now, std::uint64_t id, const std::optional<std::vector<bool>>& accepted);
 
     /// @brief Takes note of how late the next decision comes, for how much it may take on.
-    void note_late(time_point now, duration late) noexcept
+    void record_lateness(time_point now, duration late) noexcept
     {
-        strain_.note(now, late);
+        overload_.record(now, late);
     }
 
     /// @brief Takes in how long the last decision took. After one that considered fillers some don't.
@@ -121,7 +121,7 @@
     }
     [[nodiscard]] bool refuses_jobs(time_point now) const noexcept
     {
-        return strain_.refuses_jobs(now);
+        return overload_.refuses_jobs(now);
     }
     [[nodiscard]] const dispatch_counts& counts() const noexcept
     {
@@ -139,138 +139,142 @@
         return options_.policy.is_on(which);
     }
 
-    // ---- orders (tend.cpp, dispatcher.cpp), rounds (rounds.cpp)
+    // ---- orders (due_orders.cpp, dispatcher.cpp), rounds (rounds.cpp)
     struct round_proposal
     {
         std::vector<jobs::run_name> ends;
         std::vector<jobs::run_name> starts;
         std::vector<jobs::job_id> begun;
-        std::map<fleet::worker_life, std::uint64_t> noted; // ends up to this one
+        std::map<fleet::worker_life, std::uint64_t> recorded_ends; // ends up to this one
     };
-    void settle_starts(time_point now,
-                       const round_proposal& round,
-                       const std::optional<std::vector<bool>>& accepted);
+    void apply_start_results(time_point now,
+                             const round_proposal& round,
+                             const std::optional<std::vector<bool>>& accepted);
     void rollback_ends(time_point now, const round_proposal& round);
     void rollback_begun(time_point now, const round_proposal& round);
     void forget_recorded_ends(time_point now, const round_proposal& round);
-    [[nodiscard]] duration gap_after_ends(time_point now, const worker_view& of) const;
+    [[nodiscard]] duration next_poll_delay(time_point now, const worker_view& of) const;
     void take_over(time_point now, const jobs::job& from);
     void take_over(time_point now,
                    const jobs::job& from,
                    const jobs::task_name& name,
                    std::span<const jobs::run> recorded);
-    void tend_workers(time_point now, dispatch_output& out);
-    [[nodiscard]] bool tend_worker(time_point now, worker_view& of);
-    void tend_attended(time_point now, const jobs::store& state, dispatch_output& out);
-    void tend_run(time_point now, run_view& of, const jobs::store& state, dispatch_output& out);
-    void order_hold(time_point now, worker_view& of, dispatch_output& out);
-    [[nodiscard]] static bool loses_worker(const run_view& of) noexcept;
+    void order_due_polls(time_point now, dispatch_output& out);
+    [[nodiscard]] bool update_worker(time_point now, worker_view& of);
+    void order_for_actionable_runs(time_point now, const jobs::store& state, dispatch_output& out);
+    void order_for_run(time_point now, run_view& of, const jobs::store& state, dispatch_output& out);
+    void order_poll(time_point now, worker_view& of, dispatch_output& out);
+    [[nodiscard]] static bool is_worker_leaving(const run_view& of) noexcept;
     void order_start(time_point now, run_view& of, const jobs::store& state, dispatch_output& out);
     void order_stop(time_point now, run_view& of, dispatch_output& out);
-    void tend_ended_jobs(const jobs::store& state);
-    void time_cancels(std::int64_t day_ms, const jobs::store& state, dispatch_output& out);
+    void stop_runs_of_ended_jobs(const jobs::store& state);
+    void measure_cancel_latency(std::int64_t day_ms, const jobs::store& state, dispatch_output& out);
     void propose(std::int64_t day_ms, const jobs::store& state, time_point now, dispatch_output& out);
     [[nodiscard]] std::size_t count_starts_in_flight() const;
     [[nodiscard]] jobs::round plan_round(time_point now, std::int64_t day_ms, const jobs::store& state);
     [[nodiscard]] round_proposal make_proposal(const jobs::round& planned) const;
-    void skip_record(time_point now, const round_proposal& empty);
+    void apply_without_record(time_point now, const round_proposal& empty);
     void forget_old_jobs(std::int64_t day_ms, const jobs::store& state, jobs::round& into);
-    void record_learned(time_point now, jobs::round& into);
+    void record_learned_effects(time_point now, jobs::round& into);
     void record_begun(time_point now, const jobs::store& state, jobs::round& into);
-    void find_due(std::int64_t day_ms, const jobs::store& state, jobs::round& into);
+    void find_due_occurrences(std::int64_t day_ms, const jobs::store& state, jobs::round& into);
     [[nodiscard]] std::int64_t lease_for(time_point now, worker_view& of) const;
     [[nodiscard]] recipient recipient_of(const worker_view& of) const;
-    [[nodiscard]] time_point lapse_of(const worker_view& of) const;
-    void expire_workers(time_point now);
-    void forget_life(const worker_view& of);
-    void look_at_earlier_lives(time_point now, const fleet::announcement& heard);
+    [[nodiscard]] time_point lease_lapse_time(const worker_view& of) const;
+    void remove_silent_workers(time_point now);
+    void remove_life_from_address(const worker_view& of);
+    void poll_other_lives(time_point now, const fleet::announcement& heard);
 
     // ---- bookkeeping (bookkeeping.cpp)
     [[nodiscard]] run_view* find_run(const jobs::run_name& name) noexcept;
     [[nodiscard]] run_view* find_run_on(worker_view& of, const jobs::run_name& name) noexcept;
     [[nodiscard]] worker_view* find_worker(const fleet::worker_life& life) noexcept;
     [[nodiscard]] worker_view& find_or_add_worker(const fleet::worker_life& life);
-    [[nodiscard]] worker_view& meet_worker(const fleet::worker_life& life, const std::string& address);
+    [[nodiscard]] worker_view& find_or_register_worker(const fleet::worker_life& life,
+                                                       const std::string& address);
     [[nodiscard]] std::vector<worker_view*> other_lives(const fleet::worker_life& of);
     void move_to_life(const jobs::run_name& name, const fleet::worker_life& next);
     [[nodiscard]] std::span<worker_view* const> all_workers();
     void add_run(run_view added);
     void remove_run(const jobs::run_name& name);
-    void note_changed(worker_view& of) noexcept;
-    [[nodiscard]] boost::intrusive_ptr<step_stats> stats_of(const jobs::task_name& name);
+    void mark_changed(worker_view& of) noexcept;
+    [[nodiscard]] boost::intrusive_ptr<step_stats> step_stats_of(const jobs::task_name& name);
     [[nodiscard]] static bool may_need_order(const run_view& of) noexcept;
-    void attend(run_view& of);
+    void track_if_actionable(run_view& of);
 
     // ---- answers (answers.cpp)
-    void on(time_point now, const hold_order& sent, time_point sent_at, const worker_answer& got);
+    void on(time_point now, const poll_order& sent, time_point sent_at, const worker_answer& got);
     void on(time_point now, const start_order& sent, time_point sent_at, const worker_answer& got);
     void on(time_point now, const stop_order& sent, time_point sent_at, const worker_answer& got);
     void on(time_point now, const pace_order& sent, time_point sent_at, const worker_answer& got);
     void note_begun(time_point now, const jobs::run_name& name);
-    void note_start_taken(time_point now, worker_view& on, run_view& of);
-    void note_start_unanswered(time_point now, run_view& of);
-    void note_start_late(time_point now, run_view& of);
-    void note_start_rejected(time_point now, worker_view& on, run_view& of, reply how);
-    void shut_out(time_point now, run_view& of, jobs::run_end end_if_absent);
-    worker_view* note_contact(time_point now, const recipient& to, const worker_answer& got);
-    void meet_other_life(time_point now, const recipient& asked, const worker_answer& got);
-    void identify(const recipient& asked, const fleet::worker_life& told);
+    void handle_accepted_start(time_point now, worker_view& on, run_view& of);
+    void handle_unanswered_start(time_point now, run_view& of);
+    void handle_expired_start(time_point now, run_view& of);
+    void handle_rejected_start(time_point now, worker_view& on, run_view& of, reply how);
+    void fence_run(time_point now, run_view& of, jobs::run_end end_if_absent);
+    worker_view* record_contact(time_point now, const recipient& to, const worker_answer& got);
+    void handle_other_life(time_point now, const recipient& asked, const worker_answer& got);
+    void resolve_unnamed_life(const recipient& asked, const fleet::worker_life& told);
     void end_earlier_lives(time_point now, const worker_view& of, time_point sent_at);
-    void take_running(time_point now, time_point sent_at, worker_view& of, const worker_answer& got);
+    void apply_running(time_point now, time_point sent_at, worker_view& of, const worker_answer& got);
     void
-    take_finished(time_point now, worker_view& of, const contact_notes& before, const worker_answer& got);
-    void record_end_of_start(time_point now, const finished_row& row, const run_view* run);
-    void find_absent(time_point now, worker_view& of, time_point sent_at, const worker_answer& got);
+    apply_finished(time_point now, worker_view& of, const contact_snapshot& before, const worker_answer& got);
+    void record_finished_start(time_point now, const finished_row& row, const run_view* run);
+    void detect_missing_runs(time_point now, worker_view& of, time_point sent_at, const worker_answer& got);
     void end_run(time_point now,
                  run_view& of,
                  jobs::run_end how,
                  const std::string& saved,
                  jobs::crash_sign sign = jobs::crash_sign::none);
-    [[nodiscard]] bool has_lived(const run_view& of) const;
-    void note_setback(time_point now, const run_view& ended, jobs::run_end how);
-    void note_end(run_view& of, jobs::run_end how, const std::string& saved, jobs::crash_sign sign);
+    [[nodiscard]] bool was_stable(const run_view& of) const;
+    void update_backoff(time_point now, const run_view& ended, jobs::run_end how);
+    void record_end(run_view& of, jobs::run_end how, const std::string& saved, jobs::crash_sign sign);
 
     // ---- crashes (crashes.cpp)
     /// @param next the life that has answered in its place, where it told itself
     void end_life(time_point now,
                   worker_view& of,
-                  life_end how,
+                  life_end_cause how,
                   const std::optional<fleet::worker_life>& next = std::nullopt);
     using run_names = std::vector<jobs::run_name>;
-    void
-    write_off(time_point now, run_view& of, jobs::run_end how, jobs::crash_sign sign, run_names* to_next);
+    void end_or_fence(
+        time_point now, run_view& of, jobs::run_end how, jobs::crash_sign sign, run_names* moved_to_next);
     [[nodiscard]] bool is_widespread(time_point now);
-    [[nodiscard]] jobs::crash_sign sign_of_lapse(time_point now, const run_view& of, bool widespread) const;
-    /// @param to_next takes runs that the next life has to shut out; null: there is none
-    void end_crashed(time_point now, worker_view& of, run_names* to_next);
-    void end_lost(time_point now, worker_view& of, run_names* to_next);
-    void close_life(worker_view& of);
-    [[nodiscard]] static bool is_unheard(time_point now, const worker_view& of);
-    [[nodiscard]] bool waits_apart(time_point now, const jobs::task_name& suspect, const worker_view& best);
+    [[nodiscard]] jobs::crash_sign
+    crash_sign_of_lapse(time_point now, const run_view& of, bool widespread) const;
+    /// @param moved_to_next takes runs that the next life has to shut out; null: there is none
+    void end_crashed_runs(time_point now, worker_view& of, run_names* moved_to_next);
+    void end_lost_runs(time_point now, worker_view& of, run_names* moved_to_next);
+    void mark_life_ended(worker_view& of);
+    [[nodiscard]] static bool is_announcement_overdue(time_point now, const worker_view& of);
+    [[nodiscard]] bool
+    waits_for_isolation(time_point now, const jobs::task_name& suspect, const worker_view& best);
     [[nodiscard]] double crash_risk_cost(time_point now, const worker_view& of) const;
 
     // ---- lapses (lapses.cpp)
-    void end_lapsed(time_point now, worker_view& of);
+    void end_lapsed_runs(time_point now, worker_view& of);
     void end_lapsed_run(time_point now,
-                        lapse_finder found_by,
-                        const contact_notes& contact,
+                        lapse_detector found_by,
+                        const contact_snapshot& contact,
                         run_view& of,
                         const std::string& saved,
                         jobs::crash_sign sign);
-    [[nodiscard]] lapse_cause cause_of_lapse(lapse_finder found_by, const contact_notes& contact) const;
-    void note_quality(time_point now, worker_view& of, const run_view& ended, jobs::run_end how);
-    void blame(time_point now, worker_view& of, const jobs::job_id& job, double weight, std::string_view why);
+    [[nodiscard]] lapse_cause cause_of_lapse(lapse_detector found_by, const contact_snapshot& contact) const;
+    void update_failure_score(time_point now, worker_view& of, const run_view& ended, jobs::run_end how);
+    void penalize_worker(
+        time_point now, worker_view& of, const jobs::job_id& job, double weight, std::string_view why);
 
     // ---- ready steps (ready_steps.cpp)
     struct ready_step; // in ready_step.hpp
-    [[nodiscard]] std::vector<ready_step> find_ready(std::int64_t day_ms, const jobs::store& state);
+    [[nodiscard]] std::vector<ready_step> find_ready_steps(std::int64_t day_ms, const jobs::store& state);
     [[nodiscard]] bool has_waiting(const jobs::step& of, const jobs::step_spec& spec) const;
     void rank(ready_step& of, std::int64_t day_ms) const;
     [[nodiscard]] bool is_urgent(const ready_step& of, std::int64_t day_ms) const;
     [[nodiscard]] static bool has_lost_run(const ready_step& of);
     [[nodiscard]] bool has_runs(const jobs::job& of) const;
-    struct chain_times;
-    [[nodiscard]] chain_times predict_chain(const ready_step& of) const;
+    struct chain_durations;
+    [[nodiscard]] chain_durations predict_chain(const ready_step& of) const;
     [[nodiscard]] double predict_step_ms(const jobs::job& of, std::uint32_t step) const;
 
     // ---- placement (placement.cpp)
@@ -341,7 +345,7 @@
     {
         yes,
         none_fits,
-        waits_apart, // the best worker holds another suspect
+        waits_for_isolation, // the best worker holds another suspect
     };
     granted place_task(const ready_step& what,
                        const waiting_task& task,
@@ -448,12 +452,12 @@
     void watch_workers(time_point now, const jobs::store& state);
     [[nodiscard]] duration sweep_interval() const noexcept;
     void watch_run(time_point now, run_view& of);
-    void retry_unreported_stop(time_point now, run_view& of);
-    static void stop_needless_copy(run_view& of, const jobs::store& state);
+    void retry_unconfirmed_stop(time_point now, run_view& of);
+    static void stop_redundant_copy(run_view& of, const jobs::store& state);
     void move_run(time_point now, run_view& of, std::string_view why);
     [[nodiscard]] int slow_moves_of(const jobs::task_name& task) const;
-    void move_standing(time_point now, run_view& of);
-    void move_straggler(time_point now, run_view& of);
+    void move_stalled_run(time_point now, run_view& of);
+    void move_straggling_run(time_point now, run_view& of);
     void forget_ended_jobs(const jobs::store& state);
     void watch_draining(time_point now, worker_view& of, const jobs::store& state);
     void summarize(time_point now, const jobs::store& state);
@@ -489,7 +493,7 @@
     void stop_unknown_runs(dispatch_output& out);
 
     dispatch_options options_;
-    strain strain_;
+    overload_controller overload_;
     std::uint64_t term_ = 0;
     time_point leading_since_{};
     time_point decided_at_{}; // the last decision before this one
@@ -501,8 +505,8 @@
     bool worker_list_stale_ = true;
     std::map<std::string, std::set<fleet::worker_life>> lives_at_; // address: who was announced there
     std::map<jobs::run_name, run_view> runs_;
-    attended_runs attended_;    // the only runs that a decision looks at; all others need no order now
-    std::uint64_t changes_ = 0; // of workers, as far as a placement looks at them
+    actionable_runs actionable_; // the only runs that a decision looks at; all others need no order now
+    std::uint64_t changes_ = 0;  // of workers, as far as a placement looks at them
     std::map<jobs::task_name, std::set<fleet::worker_life>> failed_on_; // where a task has failed
     std::set<jobs::task_name> copy_wanted_;
     std::size_t held_count_ = 0; // workers whose room is kept for urgent tasks, as of the last placement
@@ -539,14 +543,15 @@
     bool room_changed_ = true;
     std::map<std::string, kept_room> kept_rooms_; // by pool
     time_point next_short_look_at_{};
-    task_times task_times_;
+    step_duration_predictor duration_predictor_;
     bool ignore_set_aside_ = false; // too many workers are set aside to do without them
     interference interference_;
     recent_crashes recent_crashes_;
-    retry_pauses retry_pauses_;
-    std::map<jobs::task_name, int> slow_moves_;         // moves as a straggler, or since it stood still
-    std::map<jobs::task_name, time_point> apart_since_; // suspects that found no worker without another one
-    double calm_slack_;                                 // the least that undisturbed serving tasks had lately
+    retry_backoff retry_backoff_;
+    std::map<jobs::task_name, int> slow_moves_; // moves as a straggler, or since it stood still
+    std::map<jobs::task_name, time_point>
+        isolation_wait_since_; // suspects that found no worker without another one
+    double calm_slack_;        // the least that undisturbed serving tasks had lately
     std::vector<logging::event> events_;
     dispatch_counts counts_;
     placement_counts window_; // since the last line about it
--- a/include/plumspoke/dispatch/options.hpp
+++ b/include/plumspoke/dispatch/options.hpp
@@ -29,45 +29,45 @@
     // Where a suspect runs.
     milliseconds suspect_poll_wait = milliseconds(300);
     // Between the polls of a worker whose tasks end, while the leader is behind: half of what renewals need.
-    milliseconds strained_ends_gap = milliseconds(500);
+    milliseconds overloaded_poll_delay = milliseconds(500);
     // What serving tasks use of the processors that they reserve, several of them on a worker taken together:
     // the users' load factor of 0.45, and something for its swing.
-    double serving_use = 0.5;
+    double serving_utilization = 0.5;
     // A filler is not placed where it would leave a serving task less slack (target / tail) than this.
-    double least_slack_at_start = 2.0;
+    double min_slack_at_start = 2.0;
     // An effect below this is no more than reports of undisturbed tasks differ by.
-    double harmless_effect = 0.2;
+    double negligible_effect = 0.2;
     // Before an order that did not take effect is sent again.
     duration order_retry = milliseconds(100);
     // Unanswered starts after which a task is given up on a worker.
     int max_starts = 3;
     // The same for starts that the worker calls late.
-    int max_late_starts = 10;
+    int max_expired_starts = 10;
     // Workers announce themselves about once a second; three missed ones and a little more.
-    duration announce_silence = milliseconds(4500);
+    duration announcement_timeout = milliseconds(4500);
     // Of a worker that answers its polls: its announcements go by other control VMs and may be held up.
     duration max_announcement_age = seconds(12);
     // After an answer for which a worker counts as present without a recent announcement.
     duration answer_timeout = milliseconds(2500);
     // A worker's calls unanswered in a row after which nothing is placed there.
-    int max_silent_calls = 1;
+    int max_unanswered_calls = 1;
     // Blame at which a worker is set aside: three failures in a row. Two in a row happen to sound workers
     // too.
-    double blame_limit = 2.5;
+    double failure_score_limit = 2.5;
     duration set_aside = seconds(6);
     // No progress for so long, while it should run at full pace: it stands still.
-    duration standstill = milliseconds(1600);
+    duration stall_timeout = milliseconds(1600);
     // A run this many times slower than its siblings is a straggler.
     double straggler_factor = 2.2;
-    duration straggler_extra = milliseconds(600);
+    duration straggler_margin = milliseconds(600);
     // A task that crashes its worker does so within 60 ms of its start: five times that.
-    duration start_crash_limit = milliseconds(300);
+    duration start_crash_window = milliseconds(300);
     // A lasting task that fails before this is tried again after growing pauses. Polls come about once a
     // second.
-    duration short_run = seconds(1);
+    duration min_stable_run = seconds(1);
     // A run that its worker bore for so long clears its task of crashes: those that are at fault crash it
     // within 60 ms of the start, and a lasting task meets some workers' crashes in weeks.
-    duration long_run = seconds(30);
+    duration crash_clearing_run = seconds(30);
     // How long an ended job's state is kept.
     std::int64_t keep_ended_ms = 150'000;
     // Records on their way: a few of many starts, or many of a few.
--- a/include/plumspoke/dispatch/orders.hpp
+++ b/include/plumspoke/dispatch/orders.hpp
@@ -22,12 +22,12 @@
 };
 
 /// @brief Renews the lease of all that runs on a worker and asks what runs and what has ended.
-struct hold_order
+struct poll_order
 {
     recipient to;
     std::uint64_t fencing_token = 0;
     std::optional<std::int64_t> lease_until_ms; // on the worker's clock; absent: ask only
-    std::uint64_t ends_noted = 0;               // the worker may forget ends up to this one
+    std::uint64_t ends_recorded = 0;            // the worker may forget ends up to this one
     std::int64_t wait_ms = 0;                   // the answer may wait so long for an end
 };
 
@@ -60,7 +60,7 @@
     std::uint32_t percent = 100;
 };
 
-using order = std::variant<hold_order, start_order, stop_order, pace_order>;
+using order = std::variant<poll_order, start_order, stop_order, pace_order>;
 
 /// @brief An order with the time at which it was handed out.
 struct sent_order
--- a/include/plumspoke/dispatch/strain.hpp
+++ b/include/plumspoke/dispatch/overload_controller.hpp
@@ -16,23 +16,23 @@
 {
 
 /// @brief The strain of one term.
-class strain
+class overload_controller
 {
   public:
     /// @brief Takes note of how late a decision comes.
-    void note(time_point now, duration late) noexcept
+    void record(time_point now, duration late) noexcept
     {
-        recent_late_ = std::max(late, recent_late_ * fading / whole);
-        if (late < late_limit)
+        smoothed_lateness_ = std::max(late, smoothed_lateness_ * decay_numerator / decay_denominator);
+        if (late < lateness_limit)
         {
-            starts_allowed_ = std::min(starts_allowed_ + start_growth, most_starts);
-            behind_since_ = ++on_time_ >= enough_on_time ? time_point{} : behind_since_;
+            starts_allowed_ = std::min(starts_allowed_ + start_increment, max_starts);
+            behind_since_ = ++on_time_streak_ >= recovery_streak ? time_point{} : behind_since_;
             return;
         }
-        on_time_ = 0;
-        starts_allowed_ = std::max(starts_allowed_ / 2, least_starts);
+        on_time_streak_ = 0;
+        starts_allowed_ = std::max(starts_allowed_ / 2, min_starts);
         behind_since_ = behind_since_ == time_point{} ? now : behind_since_;
-        relaxed_at_ = now + memory;
+        late_until_ = now + late_duration;
     }
 
     /// @brief How many tasks one decision may start.
@@ -44,7 +44,7 @@
     /// @brief Whether the leader was late within the last second: then workers are asked less often.
     [[nodiscard]] bool is_late(time_point now) const noexcept
     {
-        return now < relaxed_at_;
+        return now < late_until_;
     }
 
     /// @brief How long a worker whose tasks end isn't asked again: longer the later decisions come, well
@@ -52,14 +52,14 @@
     ///        count as late, so that a leader near the end of its processor makes itself less to do in time.
     ///
     /// For thousands of workers and a leader with little processor: its polls would take what starts need.
-    [[nodiscard]] duration ends_gap(duration shortest, duration longest) const noexcept
+    [[nodiscard]] duration poll_delay_after_ends(duration shortest, duration longest) const noexcept
     {
-        if (recent_late_ <= usual_late)
+        if (smoothed_lateness_ <= normal_lateness)
         {
             return shortest;
         }
-        const duration over = std::min(recent_late_, late_limit) - usual_late;
-        return shortest + (longest - shortest) * over.count() / (late_limit - usual_late).count();
+        const duration over = std::min(smoothed_lateness_, lateness_limit) - normal_lateness;
+        return shortest + (longest - shortest) * over.count() / (lateness_limit - normal_lateness).count();
     }
 
     /// @brief Whether the leader has been late for so long, without a breath between, that it should take no
@@ -72,29 +72,29 @@
   private:
     // A poll is sent once a second and renews for four: a wait of a tenth of a second is far from harm, and
     // more than any pause of a processor that is given out in tenths of a second.
-    static constexpr duration late_limit = milliseconds(150);
+    static constexpr duration lateness_limit = milliseconds(150);
     // Of a leader that has time: it looks each 25 ms, and decisions take a few.
-    static constexpr duration usual_late = milliseconds(30);
+    static constexpr duration normal_lateness = milliseconds(30);
     // Lateness fades by a tenth with each look: half of it within a fifth of a second.
-    static constexpr int fading = 9;
-    static constexpr int whole = 10;
-    static constexpr duration memory = milliseconds(1000);
+    static constexpr int decay_numerator = 9;
+    static constexpr int decay_denominator = 10;
+    static constexpr duration late_duration = milliseconds(1000);
     // Starting fewer tasks takes effect within two decisions; a burst of work passes in a second.
     static constexpr duration overload_delay = milliseconds(1000);
     // Looks in a row, of some 25 ms each: a leader that is late once a second keeps up otherwise.
-    static constexpr int enough_on_time = 8;
-    static constexpr std::size_t most_starts = 512;
-    static constexpr std::size_t least_starts = 4;
+    static constexpr int recovery_streak = 8;
+    static constexpr std::size_t max_starts = 512;
+    static constexpr std::size_t min_starts = 4;
     // Of a new leader, which doesn't know yet what it bears: too many at once would make it late for the
     // leases that it took over. All are allowed after 28 looks on time, some 0.7 s.
-    static constexpr std::size_t first_starts = 64;
-    static constexpr std::size_t start_growth = 16;
+    static constexpr std::size_t initial_starts = 64;
+    static constexpr std::size_t start_increment = 16;
 
-    std::size_t starts_allowed_ = first_starts;
-    duration recent_late_{};
-    int on_time_ = 0; // in a row
+    std::size_t starts_allowed_ = initial_starts;
+    duration smoothed_lateness_{};
+    int on_time_streak_ = 0; // in a row
     time_point behind_since_{};
-    time_point relaxed_at_{};
+    time_point late_until_{};
 };
 
 } // namespace plumspoke::dispatch
--- a/include/plumspoke/dispatch/recent_crashes.hpp
+++ b/include/plumspoke/dispatch/recent_crashes.hpp
@@ -18,10 +18,10 @@
   public:
     /// @brief Takes note of a crash, and forgets old ones.
     /// @complexity linear in the number of addresses that crashed lately
-    void note(time_point now, const std::string& address);
+    void record(time_point now, const std::string& address);
 
     /// @brief Whether a worker at this address crashed in the last minute.
-    [[nodiscard]] bool had_one(time_point now, const std::string& address) const;
+    [[nodiscard]] bool crashed_recently(time_point now, const std::string& address) const;
 
     /// @brief Whether so many of the workers crashed in the last seconds that it has one cause outside of
     /// them.
--- a/include/plumspoke/dispatch/task_times.hpp
+++ b/include/plumspoke/dispatch/step_duration_predictor.hpp
@@ -18,11 +18,11 @@
 {
 
 /// @brief Times of the steps that ended, by queue.
-class task_times
+class step_duration_predictor
 {
   public:
     /// @brief Takes one ended step in.
-    /// @param estimate_ms the submitter's guess; 0: none
+    /// @param estimate_ms the submitter's estimate; 0: none
     /// @param took_ms how long its longest task ran
     void observe(const std::string& queue, std::uint32_t estimate_ms, double took_ms);
 
@@ -35,10 +35,10 @@
     struct moments
     {
         double weight = 0;
-        double mean_guess = 0;
-        double mean_took = 0;
-        double guess_squares = 0; // about the mean
-        double products = 0;      // about both means
+        double mean_estimate = 0;
+        double mean_duration = 0;
+        double estimate_variance = 0; // about the mean
+        double covariance = 0;        // about both means
     };
     std::map<std::string, moments> queues_;
 };
--- a/include/plumspoke/dispatch/worker_clock.hpp
+++ b/include/plumspoke/dispatch/worker_clock.hpp
@@ -28,10 +28,10 @@
     }
 
     /// @brief A time that the clock has reached by `now`.
-    [[nodiscard]] std::int64_t at_least(time_point now) const noexcept;
+    [[nodiscard]] std::int64_t lower_bound(time_point now) const noexcept;
 
     /// @brief From when on the clock has surely passed `clock_ms`.
-    [[nodiscard]] time_point surely_past(std::int64_t clock_ms) const noexcept;
+    [[nodiscard]] time_point certainly_past(std::int64_t clock_ms) const noexcept;
 
   private:
     double slowest_;
--- a/include/plumspoke/dispatch/worker_view.hpp
+++ b/include/plumspoke/dispatch/worker_view.hpp
@@ -55,8 +55,8 @@
 /// @brief One run on one worker.
 struct run_view
 {
-    run_hook on_worker; // in worker_view::runs
-    run_hook attended;  // in the list of runs that may need an order
+    run_hook worker_hook;     // in worker_view::runs
+    run_hook actionable_hook; // in the list of runs that may need an order
 
     jobs::run_name name;
     fleet::worker_life worker;
@@ -79,7 +79,7 @@
 
     bool start_unanswered = false; // a start order may still take effect
     bool start_in_flight = false;
-    bool outlived_start = false; // its worker has listed it long after a crash by its start
+    bool survived_start = false; // its worker has listed it long after a crash by its start
     int starts_sent = 0;
     jobs::crash_evidence evidence; // of its task, as of the record
     time_point next_start_at{};
@@ -91,9 +91,10 @@
     time_point first_stop_at{};
     time_point next_stop_at{};
     std::optional<time_point> stop_acknowledged_at;
-    bool stop_unreported = false; // acknowledged, and no poll has told of its effect: to be sent again
+    bool stop_unconfirmed = false; // acknowledged, and no poll has told of its effect: to be sent again
     jobs::run_end end_if_absent = jobs::run_end::stopped;
-    jobs::crash_sign crash_if_ended = jobs::crash_sign::none; // of an earlier life that it may have begun on
+    jobs::crash_sign pending_crash_sign =
+        jobs::crash_sign::none; // of an earlier life that it may have begun on
 
     time_point added_at{}; // at the last decision before it was proposed or taken over
     time_point granted_at{};
@@ -113,20 +114,20 @@
     bool pace_in_flight = false;
     bool pace_unknown = false; // an earlier leader may have set another one
     time_point next_pace_at{};
-    time_point paced_since{};                    // when it was last slowed from a working pace
+    time_point slowed_since{};                   // when it was last slowed from a working pace
     std::optional<time_point> over_target_since; // of a serving run
 };
 
 /// @brief The runs of one worker.
 using worker_runs =
     boost::intrusive::list<run_view,
-                           boost::intrusive::member_hook<run_view, run_hook, &run_view::on_worker>,
+                           boost::intrusive::member_hook<run_view, run_hook, &run_view::worker_hook>,
                            boost::intrusive::constant_time_size<false>>;
 
 /// @brief Runs that may need an order.
-using attended_runs =
+using actionable_runs =
     boost::intrusive::list<run_view,
-                           boost::intrusive::member_hook<run_view, run_hook, &run_view::attended>,
+                           boost::intrusive::member_hook<run_view, run_hook, &run_view::actionable_hook>,
                            boost::intrusive::constant_time_size<false>>;
 
 /// @brief A proposed run of one task of a step, with what the dispatcher needs to know of the step.
@@ -156,31 +157,31 @@
     std::int64_t lease_sent_ms = 0; // the latest time on the worker's clock that any of our orders named
     time_point lease_sent_at{};     // when the latest order with a lease was handed out
     time_point first_lease_at{};    // when the first order of this term with a lease was handed out
-    duration lease_gap{};           // longest between two such orders since it last answered a poll
+    duration max_lease_gap{};       // longest between two such orders since it last answered a poll
     time_point answered_at{};       // when it last answered
-    time_point hold_sent_at{};      // when the latest poll was handed out
-    time_point next_hold_at{};
-    std::uint64_t ends_noted = 0;
+    time_point poll_sent_at{};      // when the latest poll was handed out
+    time_point next_poll_at{};
+    std::uint64_t ends_recorded = 0;
     std::uint64_t ends_proposed = 0;
-    std::uint64_t ends_told = 0; // the worker has been told that these are noted
+    std::uint64_t ends_acknowledged = 0; // the worker has been told that these are noted
 
-    double blame = 0; // grows with failures and standstills there, shrinks with successes
-    std::set<jobs::job_id> blamed_by;
+    double failure_score = 0; // grows with failures and standstills there, shrinks with successes
+    std::set<jobs::job_id> failing_jobs;
     time_point set_aside_until{};
     std::uint64_t tasks_done = 0;
     time_point no_room_until{};
-    std::optional<time_point> over_at; // it has said goodbye: nothing of it runs from then on
+    std::optional<time_point> departs_at; // it has said goodbye: nothing of it runs from then on
     time_point pace_changed_at{};
 
-    bool announced = false;     // false: known only from recorded runs
-    bool contacted = false;     // it has answered this leader, so older fencing tokens have no effect
-    bool has_inherited = false; // until contacted: runs of an earlier leader may be leased
-    bool hold_in_flight = false;
-    bool life_over = false; // it crashed or left: what is told late changes nothing
+    bool announced = false;          // false: known only from recorded runs
+    bool contacted = false;          // it has answered this leader, so older fencing tokens have no effect
+    bool has_inherited_runs = false; // until contacted: runs of an earlier leader may be leased
+    bool poll_in_flight = false;
+    bool life_ended = false; // it crashed or left: what is told late changes nothing
     int serving_runs = 0;
-    int suspects = 0;       // runs of tasks under which a worker has crashed
-    int prime_suspects = 0; // of these, runs of tasks of which one more crash is enough
-    int silent_calls = 0;   // in a row
+    int suspects = 0;          // runs of tasks under which a worker has crashed
+    int critical_suspects = 0; // of these, runs of tasks of which one more crash is enough
+    int unanswered_calls = 0;  // in a row
     int times_set_aside = 0;
 };
 
@@ -191,7 +192,7 @@
 }
 
 /// @brief Whether one more crash that nothing else explains would be enough to give the task up.
-[[nodiscard]] constexpr bool is_prime_suspect(const jobs::crash_evidence& of) noexcept
+[[nodiscard]] constexpr bool is_critical_suspect(const jobs::crash_evidence& of) noexcept
 {
     return of.blamed + 1 >= jobs::crash_evidence::most_blamed;
 }
@@ -203,19 +204,19 @@
 }
 
 /// @brief How the contact with a worker stands, for log lines.
-struct contact_notes
+struct contact_snapshot
 {
     time_point answered_at{};
     time_point lease_sent_at{};
     time_point first_lease_at{};
-    time_point hold_sent_at{};
-    duration lease_gap{};
-    int silent_calls = 0;
+    time_point poll_sent_at{};
+    duration max_lease_gap{};
+    int unanswered_calls = 0;
     bool contacted = false;
     bool announced = false;
-    bool hold_in_flight = false;
+    bool poll_in_flight = false;
 };
 
-[[nodiscard]] contact_notes note_contact_with(const worker_view& of);
+[[nodiscard]] contact_snapshot make_contact_snapshot(const worker_view& of);
 
 } // namespace plumspoke::dispatch
--- a/include/plumspoke/job_server/control_server.hpp
+++ b/include/plumspoke/job_server/control_server.hpp
@@ -4,7 +4,7 @@
 /// @brief The control role for jobs made of steps: the replicated store, the leader's dispatcher, and
 ///        the servers for operators, workers, entries and the other control VMs.
 
-#include "plumspoke/dispatch/decision_pace.hpp"
+#include "plumspoke/dispatch/decision_rate_limiter.hpp"
 #include "plumspoke/dispatch/dispatcher.hpp"
 #include "plumspoke/fleet/announcement.hpp"
 #include "plumspoke/http/server.hpp"
@@ -181,7 +181,7 @@
     std::unique_ptr<worker_caller> caller_;
     boost::asio::steady_timer rest_timer_{context_}; // between two decisions
     dispatch::dispatcher dispatcher_;                // on the loop's thread only, as is its pace
-    dispatch::decision_pace pace_;
+    dispatch::decision_rate_limiter decision_limiter_;
     std::atomic<bool> step_scheduled_{false};
     under_way submits_;
     std::atomic<bool> refuses_jobs_{false}; // the leader is behind: as of the last decision
--- a/src/dispatch/bookkeeping.cpp
+++ b/src/dispatch/bookkeeping.cpp
@@ -48,7 +48,7 @@
     return at->second;
 }
 
-worker_view& dispatcher::meet_worker(const fleet::worker_life& life, const std::string& address)
+worker_view& dispatcher::find_or_register_worker(const fleet::worker_life& life, const std::string& address)
 {
     worker_view& of = find_or_add_worker(life);
     if (of.info.address.empty())
@@ -109,7 +109,7 @@
     on.serving_runs += added.serving ? 1 : 0;
     on.serving_cpu_milli += added.serving ? added.needs.cpu_milli : 0;
     on.suspects += is_suspect(added.evidence) ? 1 : 0;
-    on.prime_suspects += is_prime_suspect(added.evidence) ? 1 : 0;
+    on.critical_suspects += is_critical_suspect(added.evidence) ? 1 : 0;
     if (added.lasting)
     {
         kept_room& room = kept_rooms_[on.info.service];
@@ -121,14 +121,14 @@
     added.added_at = decided_at_;
     const jobs::run_name name = added.name;
     added.on = &on;
-    added.siblings = stats_of(name.task);
+    added.siblings = step_stats_of(name.task);
     run_view& kept = runs_[name] = std::move(added);
     on.runs.push_back(kept);
-    note_changed(on);
-    attend(kept);
+    mark_changed(on);
+    track_if_actionable(kept);
 }
 
-boost::intrusive_ptr<step_stats> dispatcher::stats_of(const jobs::task_name& name)
+boost::intrusive_ptr<step_stats> dispatcher::step_stats_of(const jobs::task_name& name)
 {
     boost::intrusive_ptr<step_stats>& found = steps_[{name.job, name.step}];
     if (found == nullptr)
@@ -138,7 +138,7 @@
     return found;
 }
 
-void dispatcher::note_changed(worker_view& of) noexcept
+void dispatcher::mark_changed(worker_view& of) noexcept
 {
     of.changed = ++changes_;
 }
@@ -149,17 +149,17 @@
     {
         return false;
     }
-    const bool to_stop = of.stop_wanted && (!of.stop_acknowledged_at.has_value() || of.stop_unreported);
+    const bool to_stop = of.stop_wanted && (!of.stop_acknowledged_at.has_value() || of.stop_unconfirmed);
     const bool other_pace = of.pace_unknown || of.wanted_pace != of.pace_percent;
     const bool to_pace = of.stage == run_stage::running && other_pace && !of.stop_wanted;
     return to_stop || to_pace || of.stage == run_stage::ordered;
 }
 
-void dispatcher::attend(run_view& of)
+void dispatcher::track_if_actionable(run_view& of)
 {
-    if (!of.attended.is_linked() && may_need_order(of))
+    if (!of.actionable_hook.is_linked() && may_need_order(of))
     {
-        attended_.push_back(of);
+        actionable_.push_back(of);
     }
 }
 
@@ -183,9 +183,9 @@
         on->serving_runs -= ended.serving ? 1 : 0;
         on->serving_cpu_milli -= ended.serving ? ended.needs.cpu_milli : 0;
         on->suspects -= is_suspect(ended.evidence) ? 1 : 0;
-        on->prime_suspects -= is_prime_suspect(ended.evidence) ? 1 : 0;
+        on->critical_suspects -= is_critical_suspect(ended.evidence) ? 1 : 0;
         on->lasting_cpu_milli -= ended.lasting ? ended.needs.cpu_milli : 0;
-        note_changed(*on);
+        mark_changed(*on);
     }
     runs_.erase(found);
     room_changed_ = true;
--- a/src/dispatch/crashes.cpp
+++ b/src/dispatch/crashes.cpp
@@ -31,11 +31,11 @@
 // job that has nothing running for 3 s counts as stuck.
 constexpr auto isolation_timeout = milliseconds(1500);
 // Workers announce themselves about once a second: two announcements missed, and something for their way.
-constexpr auto heard_within = milliseconds(2500);
+constexpr auto announcement_limit = milliseconds(2500);
 
 bool is_leaving(const worker_view& of)
 {
-    return of.over_at.has_value() || of.info.is_leaving();
+    return of.departs_at.has_value() || of.info.is_leaving();
 }
 
 std::vector<jobs::crash_evidence> evidence_of(const worker_runs& runs)
@@ -50,7 +50,7 @@
 
 /// @brief Whether a start of the run may yet be carried out, seconds late, by whoever has its worker's id
 /// then.
-bool may_begin_late(const run_view& of)
+bool may_begin_later(const run_view& of)
 {
     return of.starts_sent > 0 && (of.start_in_flight || of.start_unanswered);
 }
@@ -63,20 +63,20 @@
 
 } // namespace
 
-std::string_view to_string(life_end value) noexcept
+std::string_view to_string(life_end_cause value) noexcept
 {
-    return value == life_end::crash ? "another life answers in its place" : "said goodbye";
+    return value == life_end_cause::crash ? "another life answers in its place" : "said goodbye";
 }
 
 void dispatcher::end_life(time_point now,
                           worker_view& of,
-                          life_end how,
+                          life_end_cause how,
                           const std::optional<fleet::worker_life>& next)
 {
     // Of a life that this leader knows from a late announcement alone, nothing can have crashed now.
     const bool was_there = of.contacted || !of.runs.empty();
-    const bool crashed = how == life_end::crash && !is_leaving(of) && was_there;
-    if (!of.life_over)
+    const bool crashed = how == life_end_cause::crash && !is_leaving(of) && was_there;
+    if (!of.life_ended)
     {
         events_.push_back(logging::event("dispatch", "worker_over", "A worker's life is over.")
                               .with("worker", of.info.life.id)
@@ -87,64 +87,64 @@
                               .with("next_born_ms", next.has_value() ? next->born_ms : 0)
                               .with("runs", static_cast<std::int64_t>(of.runs.size())));
     }
-    run_names to_next;
-    run_names* const late = next.has_value() ? &to_next : nullptr;
+    run_names moved_to_next;
+    run_names* const late = next.has_value() ? &moved_to_next : nullptr;
     if (crashed)
     {
-        end_crashed(now, of, late);
+        end_crashed_runs(now, of, late);
     }
     else
     {
-        end_lost(now, of, late);
+        end_lost_runs(now, of, late);
     }
-    for (const jobs::run_name& name : to_next)
+    for (const jobs::run_name& name : moved_to_next)
     {
-        (void)meet_worker(*next, of.info.address);
+        (void)find_or_register_worker(*next, of.info.address);
         move_to_life(name, *next);
     }
-    close_life(of);
+    mark_life_ended(of);
 }
 
-void dispatcher::end_lost(time_point now, worker_view& of, run_names* to_next)
+void dispatcher::end_lost_runs(time_point now, worker_view& of, run_names* moved_to_next)
 {
     for (run_view& run : of.runs)
     {
         if (run.stage != run_stage::proposed) // else its record comes back; the order then finds no worker
         {
-            write_off(now, run, jobs::run_end::lost, jobs::crash_sign::none, to_next);
+            end_or_fence(now, run, jobs::run_end::lost, jobs::crash_sign::none, moved_to_next);
         }
     }
 }
 
-void dispatcher::close_life(worker_view& of)
+void dispatcher::mark_life_ended(worker_view& of)
 {
-    of.life_over = true;
+    of.life_ended = true;
     of.announced = false;
     of.contacted = false; // an announcement that was held up on its way has to be borne out by an answer
-    of.hold_in_flight = false;
-    of.next_hold_at = time_point::max();
-    of.ends_noted = of.ends_proposed;
-    of.ends_told = of.ends_proposed;
-    of.over_at.reset();
+    of.poll_in_flight = false;
+    of.next_poll_at = time_point::max();
+    of.ends_recorded = of.ends_proposed;
+    of.ends_acknowledged = of.ends_proposed;
+    of.departs_at.reset();
     room_changed_ = true;
-    note_changed(of);
+    mark_changed(of);
 }
 
 // A start that is carried out late would find the next life under the same id willing: there the run is shut
 // out before its task goes elsewhere.
-void dispatcher::write_off(
-    time_point now, run_view& of, jobs::run_end how, jobs::crash_sign sign, run_names* to_next)
+void dispatcher::end_or_fence(
+    time_point now, run_view& of, jobs::run_end how, jobs::crash_sign sign, run_names* moved_to_next)
 {
-    if (to_next == nullptr || of.stage == run_stage::ending || !may_begin_late(of))
+    if (moved_to_next == nullptr || of.stage == run_stage::ending || !may_begin_later(of))
     {
         end_run(now, of, how, of.saved, sign);
         return;
     }
-    of.crash_if_ended = std::max(of.crash_if_ended, sign);
+    of.pending_crash_sign = std::max(of.pending_crash_sign, sign);
     of.stop_in_flight = false;
     of.stop_acknowledged_at.reset();
-    shut_out(now, of, how);
-    to_next->push_back(of.name);
+    fence_run(now, of, how);
+    moved_to_next->push_back(of.name);
 }
 
 // Those that are still silent count too: a rack that crashes comes back one worker after the other.
@@ -156,15 +156,15 @@
                       all.end(),
                       [this](const worker_view* of)
                       {
-                          return !of->life_over && of->silent_calls > options_.max_silent_calls;
+                          return !of->life_ended && of->unanswered_calls > options_.max_unanswered_calls;
                       });
     return recent_crashes_.is_widespread(now, static_cast<std::size_t>(silent), all.size());
 }
 
-void dispatcher::end_crashed(time_point now, worker_view& of, run_names* to_next)
+void dispatcher::end_crashed_runs(time_point now, worker_view& of, run_names* moved_to_next)
 {
     const bool widespread = is_widespread(now);
-    const bool other_cause = widespread || recent_crashes_.had_one(now, of.info.address);
+    const bool other_cause = widespread || recent_crashes_.crashed_recently(now, of.info.address);
     const std::optional<std::uint32_t> blamed_before =
         other_cause ? std::nullopt : jobs::find_blamed(evidence_of(of.runs));
     for (run_view& run : of.runs)
@@ -180,52 +180,53 @@
         }
         // An order that nobody answered was often sent to a worker that had crashed already.
         const bool blamed = was_confirmed(run) && run.evidence.blamed == blamed_before;
-        const bool innocent = widespread && run.outlived_start;
+        const bool innocent = widespread && run.survived_start;
         const jobs::crash_sign unexplained = blamed ? jobs::crash_sign::blamed : jobs::crash_sign::counted;
         const jobs::crash_sign sign = innocent ? jobs::crash_sign::none : unexplained;
-        write_off(now, run, jobs::run_end::crashed, sign, to_next);
+        end_or_fence(now, run, jobs::run_end::crashed, sign, moved_to_next);
     }
-    if (!of.life_over)
+    if (!of.life_ended)
     {
         ++counts_.workers_crashed;
-        recent_crashes_.note(now, of.info.address);
+        recent_crashes_.record(now, of.info.address);
     }
 }
 
-jobs::crash_sign dispatcher::sign_of_lapse(time_point now, const run_view& of, bool widespread) const
+jobs::crash_sign dispatcher::crash_sign_of_lapse(time_point now, const run_view& of, bool widespread) const
 {
     const bool sent = may_have_begun(of);
-    const bool innocent = widespread && of.outlived_start;
-    return sent && !innocent && is_unheard(now, *of.on) ? jobs::crash_sign::counted : jobs::crash_sign::none;
+    const bool innocent = widespread && of.survived_start;
+    return sent && !innocent && is_announcement_overdue(now, *of.on) ? jobs::crash_sign::counted
+                                                                     : jobs::crash_sign::none;
 }
 
-bool dispatcher::is_unheard(time_point now, const worker_view& of)
+bool dispatcher::is_announcement_overdue(time_point now, const worker_view& of)
 {
-    return !of.announced || of.announced_at + heard_within < now;
+    return !of.announced || of.announced_at + announcement_limit < now;
 }
 
 // Load that it answers: the ten tasks of a worker that crashed, and a leader that knows only one usable
 // worker yet. All of them went there together, crash after crash, and were blamed alike.
-bool dispatcher::waits_apart(time_point now, const jobs::task_name& suspect, const worker_view& best)
+bool dispatcher::waits_for_isolation(time_point now, const jobs::task_name& suspect, const worker_view& best)
 {
     if (best.suspects == 0)
     {
-        apart_since_.erase(suspect);
+        isolation_wait_since_.erase(suspect);
         return false;
     }
-    const auto waiting = apart_since_.try_emplace(suspect, now).first;
+    const auto waiting = isolation_wait_since_.try_emplace(suspect, now).first;
     if (now < waiting->second + isolation_timeout)
     {
         return true;
     }
-    apart_since_.erase(waiting);
+    isolation_wait_since_.erase(waiting);
     return false;
 }
 
 double dispatcher::crash_risk_cost(time_point now, const worker_view& of) const
 {
     return beside_suspect_cost * of.suspects +
-           (recent_crashes_.had_one(now, of.info.address) ? crashed_address_cost : 0) +
+           (recent_crashes_.crashed_recently(now, of.info.address) ? crashed_address_cost : 0) +
            (of.lasting_cpu_milli > 0 ? beside_lasting_cost : 0) +
            silence_cost * std::chrono::duration<double>(now - of.answered_at).count();
 }
--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -15,8 +15,8 @@
 {
 
 // Between placements of fillers, as a multiple of a decision's length; their objectives are seconds.
-constexpr int filler_rest_factor = 5;
-constexpr auto max_filler_rest = milliseconds(200);
+constexpr int filler_pause_factor = 5;
+constexpr auto max_filler_pause = milliseconds(200);
 constexpr auto watch_interval = milliseconds(100); // workers' reports come about once a second
 // Of fillers that an earlier leader may have slowed: neither do they stand still for ever, nor harm at once.
 constexpr std::uint32_t inherited_pace = 60; // percent; below it a task would be moved
@@ -29,7 +29,7 @@
 {
 }
 
-void dispatcher::retire()
+void dispatcher::step_down()
 {
     const dispatch_counts counts = counts_;
     *this = dispatcher(options_);
@@ -38,7 +38,7 @@
 
 void dispatcher::lead(time_point now, std::uint64_t term, const jobs::store& state)
 {
-    retire();
+    step_down();
     term_ = term;
     leading_since_ = now;
     decided_at_ = now;
@@ -88,7 +88,7 @@
         added.stop_wanted = jobs::is_final(from.phase);
         added.pace_unknown = added.filler;
         added.wanted_pace = added.filler ? inherited_pace : added.wanted_pace;
-        meet_worker(one.worker, one.address).has_inherited = true;
+        find_or_register_worker(one.worker, one.address).has_inherited_runs = true;
         add_run(std::move(added));
     }
 }
@@ -109,34 +109,34 @@
     const bool was_draining = of.announced && of.info.state == fleet::worker_state::draining;
     const bool first = !of.announced;
     const bool is_news =
-        first || !of.info.says_the_same(heard) || now >= of.announced_at + options_.announce_silence;
+        first || !of.info.says_the_same(heard) || now >= of.announced_at + options_.announcement_timeout;
     of.info = heard;
     of.announced = true;
     of.announced_at = now;
     if (is_news)
     {
         room_changed_ = true; // else each of some 450 announcements a second would lead to a placement
-        note_changed(of);
+        mark_changed(of);
     }
     if (first)
     {
-        of.next_hold_at = std::min(of.next_hold_at, now);
+        of.next_poll_at = std::min(of.next_poll_at, now);
         events_.push_back(logging::event("dispatch", "worker_known", "A worker has announced itself.")
                               .with("worker", heard.life.id)
                               .with("born_ms", heard.life.born_ms)
                               .with("address", heard.address)
                               .with("rack", heard.rack));
-        look_at_earlier_lives(now, heard);
+        poll_other_lives(now, heard);
     }
     const bool goes = heard.state == fleet::worker_state::doubtful && was_draining;
     if (heard.state == fleet::worker_state::gone || goes)
     {
-        said_goodbye(now, heard.life);
+        departed(now, heard.life);
         return;
     }
     if (heard.state == fleet::worker_state::doubtful)
     {
-        of.next_hold_at = std::min(of.next_hold_at, now);
+        of.next_poll_at = std::min(of.next_poll_at, now);
     }
     if (heard.state == fleet::worker_state::draining && !was_draining)
     {
@@ -148,7 +148,7 @@
     }
 }
 
-void dispatcher::look_at_earlier_lives(time_point now, const fleet::announcement& heard)
+void dispatcher::poll_other_lives(time_point now, const fleet::announcement& heard)
 {
     std::set<fleet::worker_life>& lives = lives_at_[heard.address];
     lives.insert(heard.life);
@@ -156,12 +156,12 @@
     {
         if (worker_view* other = find_worker(life); other != nullptr && life != heard.life)
         {
-            other->next_hold_at = now; // its own answer tells whether the old life is over
+            other->next_poll_at = now; // its own answer tells whether the old life is over
         }
     }
 }
 
-bool dispatcher::still_alive(time_point now, const fleet::worker_life& worker)
+bool dispatcher::refresh_liveness(time_point now, const fleet::worker_life& worker)
 {
     worker_view* of = find_worker(worker);
     if (of == nullptr || !of->announced)
@@ -172,17 +172,17 @@
     return true;
 }
 
-void dispatcher::said_goodbye(time_point now, const fleet::worker_life& worker)
+void dispatcher::departed(time_point now, const fleet::worker_life& worker)
 {
     worker_view* of = find_worker(worker);
-    if (of == nullptr || of->over_at.has_value())
+    if (of == nullptr || of->departs_at.has_value())
     {
         return;
     }
     // It ends right after the goodbye; half a second covers a slow way out.
-    of->over_at = now + milliseconds(500);
+    of->departs_at = now + milliseconds(500);
     room_changed_ = true;
-    note_changed(*of);
+    mark_changed(*of);
 }
 
 // ---- decisions ---------------------------------------------------------------------------------
@@ -194,8 +194,8 @@
     {
         return out;
     }
-    tend_ended_jobs(state);
-    time_cancels(day_ms, state, out);
+    stop_runs_of_ended_jobs(state);
+    measure_cancel_latency(day_ms, state, out);
     if (now >= next_watch_at_)
     {
         const metrics::measured_part watching(metrics::loop_part::watch);
@@ -206,13 +206,13 @@
             watch_runs(now, state);
         }
         watch_workers(now, state);
-        expire_workers(now);
+        remove_silent_workers(now);
         summarize(now, state);
         watch_held(now, day_ms, state);
     }
-    tend_workers(now, out);
+    order_due_polls(now, out);
     propose(day_ms, state, now, out);
-    tend_attended(now, state, out);
+    order_for_actionable_runs(now, state, out);
     stop_unknown_runs(out);
     // Polls and starts of a large fleet take long to hand out; a stop has a time limit towards the user.
     std::stable_partition(out.orders.begin(),
@@ -231,11 +231,11 @@
     if (considers_fillers_)
     {
         next_filler_placement_at_ =
-            decided_at_ + std::min<duration>(filler_rest_factor * took, max_filler_rest);
+            decided_at_ + std::min<duration>(filler_pause_factor * took, max_filler_pause);
     }
 }
 
-void dispatcher::tend_ended_jobs(const jobs::store& state)
+void dispatcher::stop_runs_of_ended_jobs(const jobs::store& state)
 {
     for (const jobs::job_id& id : state.leftover())
     {
@@ -243,12 +243,12 @@
         for (auto at = first; at != runs_.end() && at->first.task.job == id; ++at)
         {
             at->second.stop_wanted = true;
-            attend(at->second);
+            track_if_actionable(at->second);
         }
     }
 }
 
-void dispatcher::time_cancels(std::int64_t day_ms, const jobs::store& state, dispatch_output& out)
+void dispatcher::measure_cancel_latency(std::int64_t day_ms, const jobs::store& state, dispatch_output& out)
 {
     for (const jobs::job_id& id : state.leftover())
     {
@@ -292,25 +292,27 @@
         }
     }
     out.jobs += job_confirmed ? 0 : 1;
-    out.unrenewed_workers = static_cast<std::uint64_t>(
-        std::count_if(workers_.begin(),
-                      workers_.end(),
-                      [](const auto& entry)
-                      {
-                          const worker_view& of = entry.second;
-                          return of.has_inherited && !of.runs.empty() && of.lease_sent_at == time_point{};
-                      }));
+    out.unrenewed_workers =
+        static_cast<std::uint64_t>(std::count_if(workers_.begin(),
+                                                 workers_.end(),
+                                                 [](const auto& entry)
+                                                 {
+                                                     const worker_view& of = entry.second;
+                                                     return of.has_inherited_runs && !of.runs.empty() &&
+                                                            of.lease_sent_at == time_point{};
+                                                 }));
     return out;
 }
 
 std::int64_t dispatcher::lease_for(time_point now, worker_view& of) const
 {
     const std::int64_t until =
-        of.clock.at_least(now) + std::chrono::duration_cast<milliseconds>(options_.lease).count();
+        of.clock.lower_bound(now) + std::chrono::duration_cast<milliseconds>(options_.lease).count();
     of.lease_sent_ms = std::max(of.lease_sent_ms, until);
     if (of.lease_sent_at != time_point{})
     {
-        of.lease_gap = std::max(of.lease_gap, std::chrono::duration_cast<duration>(now - of.lease_sent_at));
+        of.max_lease_gap =
+            std::max(of.max_lease_gap, std::chrono::duration_cast<duration>(now - of.lease_sent_at));
     }
     of.lease_sent_at = now;
     of.first_lease_at = of.first_lease_at == time_point{} ? now : of.first_lease_at;
@@ -322,15 +324,16 @@
     return {of.info.life, of.info.address};
 }
 
-time_point dispatcher::lapse_of(const worker_view& of) const
+time_point dispatcher::lease_lapse_time(const worker_view& of) const
 {
     const auto stretched = duration(static_cast<std::int64_t>(
         static_cast<double>(duration(options_.lease).count()) / options_.slowest_clock));
-    time_point lapse =
-        of.has_inherited && !of.contacted ? leading_since_ + stretched + options_.lapse_margin : time_point{};
+    time_point lapse = of.has_inherited_runs && !of.contacted
+                           ? leading_since_ + stretched + options_.lapse_margin
+                           : time_point{};
     if (of.lease_sent_ms > 0)
     {
-        lapse = std::max(lapse, of.clock.surely_past(of.lease_sent_ms) + options_.lapse_margin);
+        lapse = std::max(lapse, of.clock.certainly_past(of.lease_sent_ms) + options_.lapse_margin);
     }
     if (lapse == time_point{})
     {
@@ -339,7 +342,7 @@
     return lapse;
 }
 
-void dispatcher::forget_life(const worker_view& of)
+void dispatcher::remove_life_from_address(const worker_view& of)
 {
     worker_list_stale_ = true;
     const auto lives = lives_at_.find(of.info.address);
@@ -349,19 +352,20 @@
     }
 }
 
-void dispatcher::expire_workers(time_point now)
+void dispatcher::remove_silent_workers(time_point now)
 {
     std::erase_if(workers_,
                   [&](const auto& entry)
                   {
                       const worker_view& of = entry.second;
                       const time_point last_heard = std::max(of.announced_at, of.answered_at);
-                      const bool silent = !of.announced || last_heard + 2 * options_.announce_silence < now;
-                      const bool over = silent && of.runs.empty() && !of.hold_in_flight &&
-                                        of.ends_proposed == of.ends_noted;
+                      const bool silent =
+                          !of.announced || last_heard + 2 * options_.announcement_timeout < now;
+                      const bool over = silent && of.runs.empty() && !of.poll_in_flight &&
+                                        of.ends_proposed == of.ends_recorded;
                       if (over)
                       {
-                          forget_life(of);
+                          remove_life_from_address(of);
                           worker_by_life_.erase(entry.first);
                       }
                       return over;
--- a/src/dispatch/tend.cpp
+++ b/src/dispatch/due_orders.cpp
@@ -15,7 +15,7 @@
 
 // Polls of one decision: so many for each millisecond since the one before, so that a leader that decides
 // seldom hears of ends as soon, and at least a portion.
-constexpr std::ptrdiff_t least_polls = 256;
+constexpr std::ptrdiff_t min_polls = 256;
 constexpr std::ptrdiff_t polls_per_ms = 5;
 constexpr auto stop_retry = milliseconds(400); // past any queueing of an answered order
 
@@ -24,97 +24,96 @@
 // A new leader has thousands of workers to ask at once, and a connection to open to each; all in one decision
 // that would outlast its own lease. In portions the oldest renewals go first, and heartbeats find time
 // between.
-void dispatcher::tend_workers(time_point now, dispatch_output& out)
+void dispatcher::order_due_polls(time_point now, dispatch_output& out)
 {
     std::vector<worker_view*> due;
     for (worker_view* of : all_workers())
     {
-        if (tend_worker(now, *of))
+        if (update_worker(now, *of))
         {
             due.push_back(of);
         }
     }
     const auto passed = std::chrono::duration_cast<milliseconds>(now - decided_at_).count();
-    const std::ptrdiff_t most_polls =
-        std::max(least_polls, polls_per_ms * static_cast<std::ptrdiff_t>(passed));
-    if (std::ssize(due) > most_polls)
+    const std::ptrdiff_t max_polls = std::max(min_polls, polls_per_ms * static_cast<std::ptrdiff_t>(passed));
+    if (std::ssize(due) > max_polls)
     {
-        const auto last = due.begin() + most_polls;
+        const auto last = due.begin() + max_polls;
         std::nth_element(due.begin(),
                          last,
                          due.end(),
                          [](const worker_view* left, const worker_view* right)
                          {
-                             return std::tuple(left->runs.empty(), left->hold_sent_at) <
-                                    std::tuple(right->runs.empty(), right->hold_sent_at);
+                             return std::tuple(left->runs.empty(), left->poll_sent_at) <
+                                    std::tuple(right->runs.empty(), right->poll_sent_at);
                          });
         due.erase(last, due.end());
     }
     for (worker_view* of : due)
     {
-        order_hold(now, *of, out);
+        order_poll(now, *of, out);
     }
 }
 
 /// @return whether the worker is to be asked now
-bool dispatcher::tend_worker(time_point now, worker_view& of)
+bool dispatcher::update_worker(time_point now, worker_view& of)
 {
-    if (of.over_at.has_value() && now >= *of.over_at)
+    if (of.departs_at.has_value() && now >= *of.departs_at)
     {
-        end_life(now, of, life_end::goodbye);
+        end_life(now, of, life_end_cause::departure);
         return false;
     }
-    const bool has_something = !of.runs.empty() || of.ends_proposed > of.ends_told;
-    if (has_something && now >= lapse_of(of))
+    const bool has_something = !of.runs.empty() || of.ends_proposed > of.ends_acknowledged;
+    if (has_something && now >= lease_lapse_time(of))
     {
-        end_lapsed(now, of);
+        end_lapsed_runs(now, of);
     }
     // A worker without runs that didn't answer is asked on: else it would count as silent for ever.
     const bool wanted =
-        has_something || (of.announced && !of.contacted) || (is_present(now, of) && of.silent_calls > 0);
-    return !of.hold_in_flight && wanted && now >= of.next_hold_at;
+        has_something || (of.announced && !of.contacted) || (is_present(now, of) && of.unanswered_calls > 0);
+    return !of.poll_in_flight && wanted && now >= of.next_poll_at;
 }
 
-void dispatcher::order_hold(time_point now, worker_view& of, dispatch_output& out)
+void dispatcher::order_poll(time_point now, worker_view& of, dispatch_output& out)
 {
-    hold_order sent;
+    poll_order sent;
     sent.to = recipient_of(of);
     sent.fencing_token = term_;
-    sent.ends_noted = of.ends_noted;
-    if (of.clock.known() && of.silent_calls == 0)
+    sent.ends_recorded = of.ends_recorded;
+    if (of.clock.known() && of.unanswered_calls == 0)
     {
         // A worker that doesn't answer is only asked: a lease that might arrive would put off for ever
         // the time at which its runs have surely lapsed.
         sent.lease_until_ms = lease_for(now, of);
     }
-    const bool calm = of.contacted && of.silent_calls == 0 && of.ends_proposed == of.ends_noted;
-    const bool watched = !strain_.is_late(now) && wants_new_reports(of);
+    const bool calm = of.contacted && of.unanswered_calls == 0 && of.ends_proposed == of.ends_recorded;
+    const bool watched = !overload_.is_late(now) && wants_new_reports(of);
     milliseconds wait = watched ? options_.watched_poll_wait : options_.poll_wait;
     // So that a suspect which outlives its start is known to soon: a widespread crash then doesn't count.
-    wait = of.suspects > 0 && !strain_.is_late(now) ? options_.suspect_poll_wait : wait;
+    wait = of.suspects > 0 && !overload_.is_late(now) ? options_.suspect_poll_wait : wait;
     sent.wait_ms = calm ? wait.count() : 0;
-    of.hold_in_flight = true;
-    of.hold_sent_at = now;
-    ++counts_.holds;
+    of.poll_in_flight = true;
+    of.poll_sent_at = now;
+    ++counts_.polls;
     out.orders.emplace_back(std::move(sent));
 }
 
 // Each decision looked at every run once: with 3,000 runs that alone was half a millisecond.
-void dispatcher::tend_attended(time_point now, const jobs::store& state, dispatch_output& out)
+void dispatcher::order_for_actionable_runs(time_point now, const jobs::store& state, dispatch_output& out)
 {
-    for (auto at = attended_.begin(); at != attended_.end();)
+    for (auto at = actionable_.begin(); at != actionable_.end();)
     {
         run_view& of = *at++;
-        tend_run(now, of, state, out);
+        order_for_run(now, of, state, out);
         order_pace(now, of, out);
         if (!may_need_order(of))
         {
-            of.attended.unlink();
+            of.actionable_hook.unlink();
         }
     }
 }
 
-void dispatcher::tend_run(time_point now, run_view& of, const jobs::store& state, dispatch_output& out)
+void dispatcher::order_for_run(time_point now, run_view& of, const jobs::store& state, dispatch_output& out)
 {
     if (of.stage == run_stage::proposed || of.stage == run_stage::ending)
     {
@@ -123,11 +122,11 @@
     if (of.stop_wanted)
     {
         // Not held up by an unanswered start: a worker rejects a start that comes after the run's stop.
-        const bool due = !of.stop_acknowledged_at.has_value() || of.stop_unreported;
+        const bool due = !of.stop_acknowledged_at.has_value() || of.stop_unconfirmed;
         if (!of.stop_in_flight && now >= of.next_stop_at && due)
         {
             of.next_stop_at = now + stop_retry;
-            of.stop_unreported = false;
+            of.stop_unconfirmed = false;
             order_stop(now, of, out);
         }
         return;
@@ -136,7 +135,7 @@
     {
         return;
     }
-    if (of.starts_sent == 0 && loses_worker(of))
+    if (of.starts_sent == 0 && is_worker_leaving(of))
     {
         end_run(now, of, jobs::run_end::not_begun, {}); // no order was sent, so nothing can begin
         return;
@@ -145,10 +144,11 @@
 }
 
 // While the record of the start was on its way the worker may have said that it leaves.
-bool dispatcher::loses_worker(const run_view& of) noexcept
+bool dispatcher::is_worker_leaving(const run_view& of) noexcept
 {
-    return of.on != nullptr && (of.on->info.state == fleet::worker_state::draining ||
-                                of.on->info.state == fleet::worker_state::gone || of.on->over_at.has_value());
+    return of.on != nullptr &&
+           (of.on->info.state == fleet::worker_state::draining ||
+            of.on->info.state == fleet::worker_state::gone || of.on->departs_at.has_value());
 }
 
 void dispatcher::order_start(time_point now, run_view& of, const jobs::store& state, dispatch_output& out)
@@ -164,7 +164,7 @@
     sent.to = recipient_of(*on);
     sent.fencing_token = term_;
     // As with polls: a lease that might reach a silent worker would put off the time of its lapse.
-    const bool renews = on->silent_calls == 0 || on->lease_sent_ms == 0;
+    const bool renews = on->unanswered_calls == 0 || on->lease_sent_ms == 0;
     sent.lease_until_ms = renews ? lease_for(now, *on) : on->lease_sent_ms;
     sent.name = of.name;
     sent.payload = job->spec.payload;
--- a/src/dispatch/filler_harm.cpp
+++ b/src/dispatch/filler_harm.cpp
@@ -74,8 +74,8 @@
 
 std::int64_t dispatcher::spare_for_fillers(const worker_view& of) const
 {
-    const auto unused =
-        static_cast<std::int64_t>((1 - options_.serving_use) * static_cast<double>(of.serving_cpu_milli));
+    const auto unused = static_cast<std::int64_t>((1 - options_.serving_utilization) *
+                                                  static_cast<double>(of.serving_cpu_milli));
     return of.info.room.cpu_milli - of.used.cpu_milli + unused - of.filler_cpu_milli;
 }
 
@@ -85,7 +85,7 @@
     for (const serving_image& one : on.serving)
     {
         const double effect = interference_.effect(one.image, filler_image);
-        if (effect >= options_.harmless_effect) // else its own load may take its slack, not the filler
+        if (effect >= options_.negligible_effect) // else its own load may take its slack, not the filler
         {
             least = std::min(least, one.least_slack - effect);
         }
@@ -100,7 +100,7 @@
     {
         worst = std::max(worst, interference_.effect(one.image, filler_image));
     }
-    return worst < options_.harmless_effect ? 0 : worst;
+    return worst < options_.negligible_effect ? 0 : worst;
 }
 
 // Where all serving tasks have slack to spare, a report a second is enough; each poll has its price.
@@ -149,7 +149,7 @@
 
 bool dispatcher::harms(const runs_digest& on, image_number filler_image) const
 {
-    return least_slack_beside(on, filler_image) < options_.least_slack_at_start ||
+    return least_slack_beside(on, filler_image) < options_.min_slack_at_start ||
            !may_explore(on, filler_image);
 }
 
--- a/src/dispatch/held_watch.cpp
+++ b/src/dispatch/held_watch.cpp
@@ -31,7 +31,7 @@
     case run_stage::running:
         break;
     }
-    if (of.on->silent_calls > 0)
+    if (of.on->unanswered_calls > 0)
     {
         return hold_cause::worker_silent;
     }
@@ -127,7 +127,7 @@
                 .with("stop_in_flight", run.stop_in_flight ? 1 : 0)
                 .with("stop_acknowledged_age_ms", age_ms(run.stop_acknowledged_at.value_or(time_point{})))
                 .with("contacted", run.on->contacted ? 1 : 0)
-                .with("unanswered_polls", run.on->silent_calls)
+                .with("unanswered_polls", run.on->unanswered_calls)
                 .with("answer_age_ms", age_ms(run.on->answered_at));
         }
         events_.push_back(std::move(line));
@@ -189,7 +189,7 @@
             runs_of(name).count == 0)
         {
             has_unplaced = true;
-            const bool paused = retry_pauses_.holds_back(now, name);
+            const bool paused = retry_backoff_.is_backing_off(now, name);
             held_.note({{name, 0}, paused ? hold_cause::retry_pause : hold_cause::not_placed, since, {}});
         }
     }
--- a/src/dispatch/lapses.cpp
+++ b/src/dispatch/lapses.cpp
@@ -39,32 +39,32 @@
     return "";
 }
 
-std::string_view to_string(lapse_finder value) noexcept
+std::string_view to_string(lapse_detector value) noexcept
 {
-    return value == lapse_finder::leader ? "leader" : "worker";
+    return value == lapse_detector::leader ? "leader" : "worker";
 }
 
-void dispatcher::end_lapsed(time_point now, worker_view& of)
+void dispatcher::end_lapsed_runs(time_point now, worker_view& of)
 {
-    const contact_notes contact = note_contact_with(of);
+    const contact_snapshot contact = make_contact_snapshot(of);
     const bool widespread = is_widespread(now);
-    if (is_unheard(now, of))
+    if (is_announcement_overdue(now, of))
     {
-        recent_crashes_.note(now, of.info.address);
+        recent_crashes_.record(now, of.info.address);
     }
     for (run_view& run : of.runs)
     {
         if (run.stage != run_stage::proposed && run.stage != run_stage::ending)
         {
-            const jobs::crash_sign sign = sign_of_lapse(now, run, widespread);
-            end_lapsed_run(now, lapse_finder::leader, contact, run, run.saved, sign);
+            const jobs::crash_sign sign = crash_sign_of_lapse(now, run, widespread);
+            end_lapsed_run(now, lapse_detector::leader, contact, run, run.saved, sign);
         }
     }
 }
 
 void dispatcher::end_lapsed_run(time_point now,
-                                lapse_finder found_by,
-                                const contact_notes& contact,
+                                lapse_detector found_by,
+                                const contact_snapshot& contact,
                                 run_view& of,
                                 const std::string& saved,
                                 jobs::crash_sign sign)
@@ -77,10 +77,10 @@
         .with("answer_age_ms", age_ms(now, contact.answered_at))
         .with("lease_age_ms", age_ms(now, contact.lease_sent_at))
         .with("first_lease_age_ms", age_ms(now, contact.first_lease_at))
-        .with("lease_gap_ms", std::chrono::duration_cast<milliseconds>(contact.lease_gap).count())
-        .with("poll_age_ms", age_ms(now, contact.hold_sent_at))
-        .with("poll_in_flight", contact.hold_in_flight ? 1 : 0)
-        .with("silent_calls", contact.silent_calls)
+        .with("lease_gap_ms", std::chrono::duration_cast<milliseconds>(contact.max_lease_gap).count())
+        .with("poll_age_ms", age_ms(now, contact.poll_sent_at))
+        .with("poll_in_flight", contact.poll_in_flight ? 1 : 0)
+        .with("silent_calls", contact.unanswered_calls)
         .with("contacted", contact.contacted ? 1 : 0)
         .with("announced", contact.announced ? 1 : 0)
         .with("inherited", of.inherited ? 1 : 0)
@@ -90,24 +90,24 @@
         .with("step_gap_ms", age_ms(now, decided_at_));
     events_.push_back(std::move(line));
     of.end_read_at = now;
-    note_end(of, jobs::run_end::lapsed, saved, sign);
+    record_end(of, jobs::run_end::lapsed, saved, sign);
 }
 
-lapse_cause dispatcher::cause_of_lapse(lapse_finder found_by, const contact_notes& contact) const
+lapse_cause dispatcher::cause_of_lapse(lapse_detector found_by, const contact_snapshot& contact) const
 {
     if (!contact.contacted)
     {
         return lapse_cause::not_contacted;
     }
-    if (contact.silent_calls > 0)
+    if (contact.unanswered_calls > 0)
     {
         return lapse_cause::silent;
     }
-    if (found_by == lapse_finder::leader)
+    if (found_by == lapse_detector::leader)
     {
-        return contact.hold_in_flight ? lapse_cause::poll_open : lapse_cause::not_asked;
+        return contact.poll_in_flight ? lapse_cause::poll_open : lapse_cause::not_asked;
     }
-    const bool late = contact.lease_gap + options_.lapse_margin >= options_.lease;
+    const bool late = contact.max_lease_gap + options_.lapse_margin >= options_.lease;
     return late ? lapse_cause::asked_late : lapse_cause::renewed;
 }
 
--- a/src/dispatch/pace.cpp
+++ b/src/dispatch/pace.cpp
@@ -123,7 +123,7 @@
             continue;
         }
         run.wanted_pace = 0; // whatever is known of its image
-        attend(run);
+        track_if_actionable(run);
         of.pace_changed_at = now;
         if (now > *since + over_target_stop && !run.stop_wanted)
         {
@@ -131,7 +131,7 @@
             run.stop_wanted = true;
             run.end_if_absent = jobs::run_end::stopped;
             run.next_stop_at = now;
-            attend(run);
+            track_if_actionable(run);
         }
     }
 }
@@ -275,7 +275,7 @@
     for (run_view& run : of.runs)
     {
         const bool known_harmless =
-            interference_.effect(serving.image_id, run.image_id) < options_.harmless_effect &&
+            interference_.effect(serving.image_id, run.image_id) < options_.negligible_effect &&
             interference_.evidence(serving.image_id, run.image_id) > enough_evidence;
         if (!run.filler || run.stage != run_stage::running || known_harmless)
         {
@@ -284,10 +284,10 @@
         const auto pace = static_cast<std::uint32_t>(scale * static_cast<double>(run.pace_percent));
         if (run.wanted_pace >= moved_pace)
         {
-            run.paced_since = now;
+            run.slowed_since = now;
         }
         run.wanted_pace = pace < least_pace ? 0 : pace;
-        attend(run);
+        track_if_actionable(run);
         of.pace_changed_at = now;
     }
 }
@@ -310,7 +310,7 @@
         if (percent >= least_pace)
         {
             run.wanted_pace += percent;
-            attend(run);
+            track_if_actionable(run);
             of.pace_changed_at = now;
         }
     }
@@ -326,7 +326,7 @@
     {
         return;
     }
-    if (run.on->silent_calls > 0)
+    if (run.on->unanswered_calls > 0)
     {
         return;
     }
--- a/src/dispatch/placement.cpp
+++ b/src/dispatch/placement.cpp
@@ -45,8 +45,8 @@
 {
     const metrics::measured_part placing(metrics::loop_part::place);
     begin_placement(now);
-    const std::vector<ready_step> ready = find_ready(day_ms, state);
-    const std::size_t all = std::min(options_.max_starts_per_round, strain_.starts_allowed());
+    const std::vector<ready_step> ready = find_ready_steps(day_ms, state);
+    const std::size_t all = std::min(options_.max_starts_per_round, overload_.starts_allowed());
     const std::array<std::size_t, work_kind_count> limits = limit_starts(all, ready);
     note_least_filler(ready);
     watch_short_tasks(now, ready);
@@ -122,7 +122,7 @@
     double allowed_ms = std::numeric_limits<double>::infinity();
     for (const ready_step& what : ready)
     {
-        if (what.kind() == work_kind::brief && what.worth != worth_class::hopeless)
+        if (what.kind() == work_kind::brief && what.lateness != lateness_class::hopeless)
         {
             short_tasks += what.count_waiting();
             allowed_ms = std::min<double>(allowed_ms, what.job->taken_from.objective_extra_ms);
@@ -161,8 +161,8 @@
     {
         kind_counts& of = window_.of(what.kind());
         ++of.steps_ready;
-        of.steps_late += what.worth == worth_class::late ? 1 : 0;
-        of.steps_hopeless += what.worth == worth_class::hopeless ? 1 : 0;
+        of.steps_late += what.lateness == lateness_class::late ? 1 : 0;
+        of.steps_hopeless += what.lateness == lateness_class::hopeless ? 1 : 0;
         of.tasks_waiting += static_cast<std::int64_t>(what.count_waiting());
     }
 }
@@ -216,8 +216,8 @@
         const jobs::run_started& first = into.starts[before];
         const auto count = static_cast<std::int64_t>(into.starts.size() - before);
         kind_counts& of = window_.of(what.kind());
-        of.granted_late += what.worth == worth_class::late ? count : 0;
-        of.granted_hopeless += what.worth == worth_class::hopeless ? count : 0;
+        of.granted_late += what.lateness == lateness_class::late ? count : 0;
+        of.granted_hopeless += what.lateness == lateness_class::hopeless ? count : 0;
         const duration queued = queued_for(now, into.at_ms, what);
         for (std::size_t at = before; at < into.starts.size(); ++at)
         {
@@ -233,7 +233,7 @@
                               .with("first_worker", first.worker.id)
                               .with("first_worker_born_ms", first.worker.born_ms)
                               .with("first_attempt", first.name.attempt)
-                              .with("worth", static_cast<std::int64_t>(what.worth)));
+                              .with("worth", static_cast<std::int64_t>(what.lateness)));
     }
 }
 
@@ -283,7 +283,7 @@
         }
         task.name.index = index;
         task.runs = runs_of(task.name);
-        if (!wants_run(what, task) || retry_pauses_.holds_back(now, task.name))
+        if (!wants_run(what, task) || retry_backoff_.is_backing_off(now, task.name))
         {
             continue;
         }
@@ -309,7 +309,7 @@
         full.placement = placements_;
         ++window_.of(what.kind()).steps_without_worker;
         explain_wait(now, what, index);
-        if (what.regains && !first_start)
+        if (what.restarts_lasting_task && !first_start)
         {
             hold_room(now, what, static_cast<std::uint32_t>(tasks.size()) - index);
         }
@@ -330,9 +330,9 @@
     {
         return granted::none_fits;
     }
-    if (is_suspect(recorded.evidence) && waits_apart(now, task.name, *on))
+    if (is_suspect(recorded.evidence) && waits_for_isolation(now, task.name, *on))
     {
-        return granted::waits_apart;
+        return granted::waits_for_isolation;
     }
     if (what.spec->copies_allowed && copy_wanted_.erase(task.name) > 0)
     {
@@ -365,7 +365,7 @@
     std::uint32_t attempt = 0;
     for (std::uint32_t index = 0; index < tasks.size(); ++index)
     {
-        if (runs_of(what.task(index)).count > 0 || retry_pauses_.holds_back(now, what.task(index)))
+        if (runs_of(what.task(index)).count > 0 || retry_backoff_.is_backing_off(now, what.task(index)))
         {
             return; // all members of the last run must be over
         }
--- a/src/dispatch/ready_step.hpp
+++ b/src/dispatch/ready_step.hpp
@@ -14,7 +14,7 @@
 inline constexpr double set_aside_cost = 60'000;
 
 /// @brief How much a job's remaining time is worth, best first.
-enum class worth_class : std::uint8_t
+enum class lateness_class : std::uint8_t
 {
     in_time,
     late,
@@ -29,12 +29,13 @@
     std::uint32_t step = 0;
     const jobs::step_spec* spec = nullptr;
     image_number image_id = 0;
-    worth_class worth = worth_class::in_time;
+    lateness_class lateness = lateness_class::in_time;
     std::int64_t deadline_ms = 0;
-    bool urgent = false;     // its job has had nothing running for long: any worker is better than none
-    bool goes_first = false; // before all others of its priority
-    bool starving = false;   // the same for so long that harm elsewhere is the lesser evil
-    bool regains = false;    // a lasting task of it has lost its run: its users are away until it is back
+    bool urgent = false;           // its job has had nothing running for long: any worker is better than none
+    bool takes_precedence = false; // before all others of its priority
+    bool starving = false;         // the same for so long that harm elsewhere is the lesser evil
+    bool restarts_lasting_task =
+        false; // a lasting task of it has lost its run: its users are away until it is back
 
     [[nodiscard]] jobs::task_name task(std::uint32_t index) const
     {
--- a/src/dispatch/ready_steps.cpp
+++ b/src/dispatch/ready_steps.cpp
@@ -22,22 +22,23 @@
 } // namespace
 
 /// @brief How long a job's steps run one after the other, in ms.
-struct dispatcher::chain_times
+struct dispatcher::chain_durations
 {
-    double whole_ms = 0;
-    double left_ms = 0; // of the steps that have not ended
+    double total_ms = 0;
+    double remaining_ms = 0; // of the steps that have not ended
 };
 
 double dispatcher::predict_step_ms(const jobs::job& of, std::uint32_t step) const
 {
     const std::uint32_t estimate_ms = of.spec.steps[step].estimate_ms;
-    return is_on(mechanism::predicted_lateness) ? task_times_.predict_ms(of.taken_from.name, estimate_ms)
-                                                : estimate_ms;
+    return is_on(mechanism::predicted_lateness)
+               ? duration_predictor_.predict_ms(of.taken_from.name, estimate_ms)
+               : estimate_ms;
 }
 
-dispatcher::chain_times dispatcher::predict_chain(const ready_step& of) const
+dispatcher::chain_durations dispatcher::predict_chain(const ready_step& of) const
 {
-    chain_times out; // steps mostly wait for the one before
+    chain_durations out; // steps mostly wait for the one before
     const double overhead_ms = stage_delays_.overhead_ms(of.kind());
     for (std::uint32_t step = 0; step < of.at->steps.size(); ++step)
     {
@@ -45,8 +46,8 @@
         const auto seen = ended ? steps_.find({of.job->id, step}) : steps_.end();
         const double took_ms = seen == steps_.end() ? 0 : seen->second->longest_ms;
         const double step_ms = took_ms > 0 ? took_ms : predict_step_ms(*of.job, step);
-        out.whole_ms += step_ms;
-        out.left_ms += ended ? 0 : step_ms + overhead_ms;
+        out.total_ms += step_ms;
+        out.remaining_ms += ended ? 0 : step_ms + overhead_ms;
     }
     return out;
 }
@@ -54,28 +55,29 @@
 void dispatcher::rank(ready_step& of, std::int64_t day_ms) const
 {
     const jobs::job& job = *of.job;
-    const chain_times chain = predict_chain(of);
+    const chain_durations chain = predict_chain(of);
     const bool predicts = is_on(mechanism::predicted_lateness);
     const std::int64_t since = job.spec.repeat_count == 0
                                    ? job.accepted_at_ms
                                    : job.spec.first_due_ms + of.at->number * job.spec.interval_ms;
-    const auto objective_ms = static_cast<std::int64_t>(job.taken_from.objective_factor * chain.whole_ms) +
+    const auto objective_ms = static_cast<std::int64_t>(job.taken_from.objective_factor * chain.total_ms) +
                               job.taken_from.objective_extra_ms;
-    const auto left_ms = predicts ? static_cast<std::int64_t>(chain.left_ms) : 0;
-    of.deadline_ms = since + objective_ms - left_ms;
-    const std::int64_t age_ms = day_ms - since + left_ms;
+    const auto remaining_ms = predicts ? static_cast<std::int64_t>(chain.remaining_ms) : 0;
+    of.deadline_ms = since + objective_ms - remaining_ms;
+    const std::int64_t age_ms = day_ms - since + remaining_ms;
     if (of.spec->lasting || age_ms <= objective_ms)
     {
-        of.worth = worth_class::in_time;
+        of.lateness = lateness_class::in_time;
     }
     else
     {
         const bool late = static_cast<double>(age_ms) <= late_factor * static_cast<double>(objective_ms);
-        of.worth = late ? worth_class::late : worth_class::hopeless;
+        of.lateness = late ? lateness_class::late : lateness_class::hopeless;
     }
 }
 
-std::vector<dispatcher::ready_step> dispatcher::find_ready(std::int64_t day_ms, const jobs::store& state)
+std::vector<dispatcher::ready_step> dispatcher::find_ready_steps(std::int64_t day_ms,
+                                                                 const jobs::store& state)
 {
     const bool predicts = is_on(mechanism::predicted_lateness);
     const bool starves = is_on(mechanism::starving_fillers);
@@ -103,23 +105,26 @@
                 found.image_id = interference_.number_of(spec.image);
                 rank(found, day_ms);
                 found.urgent = is_urgent(found, day_ms);
-                found.regains = found.spec->lasting && has_lost_run(found);
-                found.goes_first = found.urgent && (spec.lasting || !predicts);
+                found.restarts_lasting_task = found.spec->lasting && has_lost_run(found);
+                found.takes_precedence = found.urgent && (spec.lasting || !predicts);
                 found.starving =
                     found.urgent && starves && day_ms > job->accepted_at_ms + starving_after.count();
                 ready.push_back(found);
             }
         }
     }
-    std::stable_sort(
-        ready.begin(),
-        ready.end(),
-        [](const ready_step& left, const ready_step& right)
-        {
-            return std::tuple(left.job->taken_from.priority, !left.goes_first, left.worth, left.deadline_ms) <
-                   std::tuple(
-                       right.job->taken_from.priority, !right.goes_first, right.worth, right.deadline_ms);
-        });
+    std::stable_sort(ready.begin(),
+                     ready.end(),
+                     [](const ready_step& left, const ready_step& right)
+                     {
+                         return std::tuple(left.job->taken_from.priority,
+                                           !left.takes_precedence,
+                                           left.lateness,
+                                           left.deadline_ms) < std::tuple(right.job->taken_from.priority,
+                                                                          !right.takes_precedence,
+                                                                          right.lateness,
+                                                                          right.deadline_ms);
+                     });
     return ready;
 }
 
--- a/src/dispatch/recent_crashes.cpp
+++ b/src/dispatch/recent_crashes.cpp
@@ -8,27 +8,28 @@
 namespace
 {
 
-constexpr auto lately = seconds(60);     // workers that crash by themselves do so in series
-constexpr auto same_moment = seconds(5); // a rack's crash is seen when its workers are back, 2 to 5 s later
-constexpr std::size_t few = 3;           // so many tasks may well crash their workers at once
-constexpr std::size_t one_of = 5;        // more than a fifth of the workers: a rack, a zone, a release
+constexpr auto crash_window = seconds(60); // workers that crash by themselves do so in series
+constexpr auto simultaneous_window =
+    seconds(5);                           // a rack's crash is seen when its workers are back, 2 to 5 s later
+constexpr std::size_t min_widespread = 3; // so many tasks may well crash their workers at once
+constexpr std::size_t widespread_divisor = 5; // more than a fifth of the workers: a rack, a zone, a release
 
 } // namespace
 
-void recent_crashes::note(time_point now, const std::string& address)
+void recent_crashes::record(time_point now, const std::string& address)
 {
     std::erase_if(latest_,
                   [now](const auto& entry)
                   {
-                      return entry.second + lately < now;
+                      return entry.second + crash_window < now;
                   });
     latest_[address] = now;
 }
 
-bool recent_crashes::had_one(time_point now, const std::string& address) const
+bool recent_crashes::crashed_recently(time_point now, const std::string& address) const
 {
     const auto found = latest_.find(address);
-    return found != latest_.end() && now <= found->second + lately;
+    return found != latest_.end() && now <= found->second + crash_window;
 }
 
 bool recent_crashes::is_widespread(time_point now, std::size_t silent, std::size_t workers) const
@@ -37,9 +38,10 @@
                                        latest_.end(),
                                        [now](const auto& entry)
                                        {
-                                           return now <= entry.second + same_moment;
+                                           return now <= entry.second + simultaneous_window;
                                        });
-    return static_cast<std::size_t>(at_once) + silent > std::max(few, workers / one_of);
+    return static_cast<std::size_t>(at_once) + silent >
+           std::max(min_widespread, workers / widespread_divisor);
 }
 
 } // namespace plumspoke::dispatch
--- a/src/dispatch/repeated_blame.hpp
+++ b/src/dispatch/repeated_failure_weight.hpp
@@ -7,6 +7,6 @@
 {
 
 /// @brief Share of the usual blame: it is rather the task's own fault.
-inline constexpr double repeated_blame = 0.35;
+inline constexpr double repeated_failure_weight = 0.35;
 
 } // namespace plumspoke::dispatch
--- a/src/dispatch/rounds.cpp
+++ b/src/dispatch/rounds.cpp
@@ -22,7 +22,7 @@
 // old.
 constexpr auto begun_interval = milliseconds(500);
 // Ends come in clusters, and each poll has its price: after one that brought ends the next waits a little.
-constexpr auto ends_gap = milliseconds(80);
+constexpr auto min_poll_delay_after_ends = milliseconds(80);
 
 } // namespace
 
@@ -41,7 +41,7 @@
     round_proposal proposal = make_proposal(planned.command);
     if (planned.command.empty())
     {
-        skip_record(now, proposal);
+        apply_without_record(now, proposal);
         return;
     }
     planned.id = next_round_++;
@@ -65,8 +65,8 @@
     jobs::round planned;
     planned.at_ms = day_ms;
     planned.ends = std::exchange(pending_ends_, {});
-    find_due(day_ms, state, planned);
-    record_learned(now, planned);
+    find_due_occurrences(day_ms, state, planned);
+    record_learned_effects(now, planned);
     considers_fillers_ = false;
     const bool due = room_changed_ || placed_revision_ != state.revision() || now >= next_placement_at_;
     if (due)
@@ -91,9 +91,9 @@
     round_proposal proposal;
     for (const auto& [id, of] : workers_)
     {
-        if (of.ends_proposed > of.ends_noted)
+        if (of.ends_proposed > of.ends_recorded)
         {
-            proposal.noted[id] = of.ends_proposed;
+            proposal.recorded_ends[id] = of.ends_proposed;
         }
     }
     for (const jobs::run_ended& one : planned.ends)
@@ -108,18 +108,18 @@
     return proposal;
 }
 
-void dispatcher::skip_record(time_point now, const round_proposal& empty)
+void dispatcher::apply_without_record(time_point now, const round_proposal& empty)
 {
     if (!in_flight_.empty())
     {
         return;
     }
     // Ends of runs that nobody waits for need no record.
-    for (const auto& [id, number] : empty.noted)
+    for (const auto& [id, number] : empty.recorded_ends)
     {
         worker_view& of = workers_.at(id);
-        of.ends_noted = number;
-        of.next_hold_at = now;
+        of.ends_recorded = number;
+        of.next_poll_at = now;
     }
 }
 
@@ -135,7 +135,7 @@
     }
 }
 
-void dispatcher::record_learned(time_point now, jobs::round& into)
+void dispatcher::record_learned_effects(time_point now, jobs::round& into)
 {
     if (now < next_record_at_)
     {
@@ -170,7 +170,7 @@
     }
 }
 
-void dispatcher::find_due(std::int64_t day_ms, const jobs::store& state, jobs::round& into)
+void dispatcher::find_due_occurrences(std::int64_t day_ms, const jobs::store& state, jobs::round& into)
 {
     for (const auto& [accepted, job] : state.live())
     {
@@ -201,7 +201,7 @@
     const round_proposal round = std::move(found->second);
     in_flight_.erase(found);
     room_changed_ = true;
-    settle_starts(now, round, accepted);
+    apply_start_results(now, round, accepted);
     if (accepted.has_value())
     {
         forget_recorded_ends(now, round);
@@ -213,9 +213,9 @@
     }
 }
 
-void dispatcher::settle_starts(time_point now,
-                               const round_proposal& round,
-                               const std::optional<std::vector<bool>>& accepted)
+void dispatcher::apply_start_results(time_point now,
+                                     const round_proposal& round,
+                                     const std::optional<std::vector<bool>>& accepted)
 {
     for (std::size_t i = 0; i < round.starts.size(); ++i)
     {
@@ -232,7 +232,7 @@
                                  std::chrono::duration_cast<duration>(now - of->granted_at));
             of->recorded_at = now;
             of->next_start_at = now;
-            attend(*of);
+            track_if_actionable(*of);
         }
         else
         {
@@ -242,20 +242,21 @@
 }
 
 // Each end of a short task that is heard of late keeps a caller waiting, and few workers have one.
-duration dispatcher::gap_after_ends(time_point now, const worker_view& of) const
+duration dispatcher::next_poll_delay(time_point now, const worker_view& of) const
 {
-    const bool has_brief = std::any_of(of.runs.begin(),
-                                       of.runs.end(),
-                                       [](const run_view& run)
-                                       {
-                                           return !run.lasting && !run.filler;
-                                       });
-    if (has_brief)
+    const bool has_short_task = std::any_of(of.runs.begin(),
+                                            of.runs.end(),
+                                            [](const run_view& run)
+                                            {
+                                                return !run.lasting && !run.filler;
+                                            });
+    if (has_short_task)
     {
-        return ends_gap;
+        return min_poll_delay_after_ends;
     }
-    const duration longest = options_.strained_ends_gap;
-    return strain_.is_late(now) ? longest : strain_.ends_gap(ends_gap, longest);
+    const duration longest = options_.overloaded_poll_delay;
+    return overload_.is_late(now) ? longest
+                                  : overload_.poll_delay_after_ends(min_poll_delay_after_ends, longest);
 }
 
 // Not recorded: the workers list these ends again, since they were not noted.
@@ -266,15 +267,15 @@
         if (run_view* of = find_run(name); of != nullptr)
         {
             of->stage = run_stage::running;
-            attend(*of);
+            track_if_actionable(*of);
         }
     }
-    for (const auto& [worker, number] : round.noted)
+    for (const auto& [worker, number] : round.recorded_ends)
     {
         if (worker_view* of = find_worker(worker); of != nullptr)
         {
-            of->ends_proposed = of->ends_noted;
-            of->next_hold_at = now;
+            of->ends_proposed = of->ends_recorded;
+            of->next_poll_at = now;
         }
     }
 }
@@ -299,12 +300,12 @@
         }
         remove_run(name);
     }
-    for (const auto& [worker, number] : round.noted)
+    for (const auto& [worker, number] : round.recorded_ends)
     {
         if (worker_view* of = find_worker(worker); of != nullptr)
         {
-            of->ends_noted = std::max(of->ends_noted, number);
-            of->next_hold_at = std::max(now, of->answered_at + gap_after_ends(now, *of));
+            of->ends_recorded = std::max(of->ends_recorded, number);
+            of->next_poll_at = std::max(now, of->answered_at + next_poll_delay(now, *of));
         }
     }
 }
--- a/src/dispatch/watch.cpp
+++ b/src/dispatch/watch.cpp
@@ -3,7 +3,7 @@
 
 #include "pace_limits.hpp"
 #include "plumspoke/dispatch/dispatcher.hpp"
-#include "repeated_blame.hpp"
+#include "repeated_failure_weight.hpp"
 
 #include <algorithm>
 
@@ -13,17 +13,17 @@
 namespace
 {
 
-constexpr std::int64_t least_measured_percent = 3;     // below this a speed is mostly rounding
-constexpr duration shortest_sweep = milliseconds(100); // workers' reports come about once a second
+constexpr std::int64_t min_measured_percent = 3;           // below this a speed is mostly rounding
+constexpr duration min_sweep_interval = milliseconds(100); // workers' reports come about once a second
 // For each run, which bounds the share of a processor that looking at all of them takes.
-constexpr duration sweep_share = std::chrono::microseconds(40);
+constexpr duration sweep_interval_per_run = std::chrono::microseconds(40);
 constexpr auto summary_interval = seconds(2);  // short enough to see a disturbance of a few seconds
 constexpr auto cleaning_interval = seconds(1); // of what is kept for jobs that have ended
 // For a poll's answer that lists a stopped run's end, or doesn't list the run any more.
-constexpr auto stop_report_timeout = milliseconds(2500);
-constexpr auto moved_after = milliseconds(200); // a move costs about 0.4 s: the saved work is restored
-constexpr std::size_t most_moves = 2;         // of one task: where everything is full, moving on helps nobody
-constexpr int most_straggler_moves = 2;       // of one task: slow on a third worker it is slow by nature
+constexpr auto stop_confirmation_timeout = milliseconds(2500);
+constexpr auto move_delay = milliseconds(200); // a move costs about 0.4 s: the saved work is restored
+constexpr std::size_t max_moves = 2;          // of one task: where everything is full, moving on helps nobody
+constexpr int max_straggler_moves = 2;        // of one task: slow on a third worker it is slow by nature
 constexpr int max_timeout_doublings = 6;      // 1.6 s grow to 102 s
 constexpr double filler_straggler_factor = 2; // a filler lags where others use their processors
 
@@ -32,7 +32,7 @@
 // The more runs, the less often: their figures come with polls, once or twice a second.
 duration dispatcher::sweep_interval() const noexcept
 {
-    return std::max(shortest_sweep, sweep_share * static_cast<std::int64_t>(runs_.size()));
+    return std::max(min_sweep_interval, sweep_interval_per_run * static_cast<std::int64_t>(runs_.size()));
 }
 
 void dispatcher::watch_runs(time_point now, const jobs::store& state)
@@ -42,8 +42,8 @@
     {
         note_held_run(now, of);
         watch_run(now, of);
-        stop_needless_copy(of, state);
-        attend(of);
+        stop_redundant_copy(of, state);
+        track_if_actionable(of);
     }
 }
 
@@ -79,13 +79,13 @@
                   {
                       return is_over(entry.first.job);
                   });
-    retry_pauses_.forget_jobs(is_over);
+    retry_backoff_.erase_jobs(is_over);
     std::erase_if(slow_moves_,
                   [&](const auto& entry)
                   {
                       return is_over(entry.first.job);
                   });
-    std::erase_if(apart_since_,
+    std::erase_if(isolation_wait_since_,
                   [&](const auto& entry)
                   {
                       return is_over(entry.first.job);
@@ -102,7 +102,7 @@
                   });
 }
 
-void dispatcher::stop_needless_copy(run_view& of, const jobs::store& state)
+void dispatcher::stop_redundant_copy(run_view& of, const jobs::store& state)
 {
     if (!of.copies_allowed || of.gang)
     {
@@ -121,18 +121,18 @@
 {
     if (of.stop_wanted)
     {
-        retry_unreported_stop(now, of);
+        retry_unconfirmed_stop(now, of);
         return;
     }
     worker_view& on = *of.on;
-    const bool silent = on.silent_calls > options_.max_silent_calls;
+    const bool silent = on.unanswered_calls > options_.max_unanswered_calls;
     if (of.copies_allowed && silent && of.stage != run_stage::ending && is_on(mechanism::copies))
     {
         copy_wanted_.insert(of.name.task);
         return;
     }
     if (of.filler && of.stage == run_stage::running && of.wanted_pace < moved_pace && !of.saved.empty() &&
-        now > of.paced_since + moved_after && failed_on_[of.name.task].size() < most_moves)
+        now > of.slowed_since + move_delay && failed_on_[of.name.task].size() < max_moves)
     {
         ++counts_.moved_pace;
         move_run(now, of, "it would disturb what serves here");
@@ -144,13 +144,13 @@
         return;
     }
     const bool at_work = of.lasting && of.percent >= whole_percent;
-    const bool reported = of.confirmed_at > of.progress_at + options_.standstill / 2;
-    if (!at_work && reported && now > of.progress_at + options_.standstill)
+    const bool reported = of.confirmed_at > of.progress_at + options_.stall_timeout / 2;
+    if (!at_work && reported && now > of.progress_at + options_.stall_timeout)
     {
-        move_standing(now, of);
+        move_stalled_run(now, of);
         return;
     }
-    if (of.lasting || of.siblings->done == 0 || of.percent < least_measured_percent)
+    if (of.lasting || of.siblings->done == 0 || of.percent < min_measured_percent)
     {
         return;
     }
@@ -158,23 +158,23 @@
     const double left =
         elapsed * static_cast<double>(whole_percent - of.percent) / static_cast<double>(of.percent);
     const double again = of.siblings->mean_ms * (of.saves_progress && !of.saved.empty() ? 0.5 : 1.0);
-    const double extra = std::chrono::duration<double, std::milli>(options_.straggler_extra).count();
+    const double extra = std::chrono::duration<double, std::milli>(options_.straggler_margin).count();
     // A filler is slow where others use their processors: it is moved for much, and its worker not blamed.
     const double factor = options_.straggler_factor * (of.filler ? filler_straggler_factor : 1);
     if (left > factor * again + extra && (!of.filler || !of.saved.empty()))
     {
-        move_straggler(now, of);
+        move_straggling_run(now, of);
     }
 }
 
 // Nothing else doubts an acknowledgement while polls go unanswered.
-void dispatcher::retry_unreported_stop(time_point now, run_view& of)
+void dispatcher::retry_unconfirmed_stop(time_point now, run_view& of)
 {
     if (of.stop_acknowledged_at.has_value() &&
-        now > std::max(*of.stop_acknowledged_at, of.next_stop_at) + stop_report_timeout)
+        now > std::max(*of.stop_acknowledged_at, of.next_stop_at) + stop_confirmation_timeout)
     {
-        of.stop_unreported = true;
-        attend(of);
+        of.stop_unconfirmed = true;
+        track_if_actionable(of);
     }
 }
 
@@ -186,32 +186,33 @@
 
 // What stands still wherever it runs must not be moved for ever, nor set sound workers aside: each move
 // doubles the timeout, and only the first worker gets the whole blame.
-void dispatcher::move_standing(time_point now, run_view& of)
+void dispatcher::move_stalled_run(time_point now, run_view& of)
 {
     const int moves = slow_moves_of(of.name.task);
-    const duration timeout = options_.standstill * (1 << std::min(moves, max_timeout_doublings));
+    const duration timeout = options_.stall_timeout * (1 << std::min(moves, max_timeout_doublings));
     if (now <= of.progress_at + timeout)
     {
         return;
     }
     ++slow_moves_[of.name.task];
-    ++counts_.moved_standstill;
-    blame(now, *of.on, of.name.task.job, moves == 0 ? 1 : repeated_blame, "its tasks stand still");
+    ++counts_.moved_stalled;
+    penalize_worker(
+        now, *of.on, of.name.task.job, moves == 0 ? 1 : repeated_failure_weight, "its tasks stand still");
     move_run(now, of, "standstill");
 }
 
 // A task that is slower than its fellows by nature would be moved on for ever and never end.
-void dispatcher::move_straggler(time_point now, run_view& of)
+void dispatcher::move_straggling_run(time_point now, run_view& of)
 {
     const int moves = slow_moves_of(of.name.task);
-    if (moves >= most_straggler_moves)
+    if (moves >= max_straggler_moves)
     {
         return;
     }
     ++slow_moves_[of.name.task];
     ++counts_.moved_straggler;
-    const double weight = moves == 0 ? 0.5 : 0.5 * repeated_blame;
-    blame(now, *of.on, of.name.task.job, of.filler ? 0 : weight, "its tasks are slow");
+    const double weight = moves == 0 ? 0.5 : 0.5 * repeated_failure_weight;
+    penalize_worker(now, *of.on, of.name.task.job, of.filler ? 0 : weight, "its tasks are slow");
     move_run(now, of, "straggler");
 }
 
@@ -241,7 +242,7 @@
     of.stop_wanted = true;
     of.end_if_absent = jobs::run_end::stopped;
     of.next_stop_at = now;
-    attend(of);
+    track_if_actionable(of);
 }
 
 void dispatcher::watch_draining(time_point now, worker_view& of, const jobs::store& state)
@@ -289,7 +290,7 @@
     {
         usable += is_usable(now, of, false) ? 1 : 0;
         serving += of.serving_runs > 0 ? 1 : 0;
-        silent += of.silent_calls > options_.max_silent_calls ? 1 : 0;
+        silent += of.unanswered_calls > options_.max_unanswered_calls ? 1 : 0;
         aside += now < of.set_aside_until ? 1 : 0;
         whole_cpu += of.announced ? of.info.room.cpu_milli : 0;
         used_cpu += of.used.cpu_milli;
--- a/src/dispatch/worker_choice.cpp
+++ b/src/dispatch/worker_choice.cpp
@@ -62,7 +62,7 @@
         double points = one.points;
         if (failed != failed_on_.end())
         {
-            points -= of.tasks_done == 0 || of.blame > 0.5 ? unproven_cost : 0;
+            points -= of.tasks_done == 0 || of.failure_score > 0.5 ? unproven_cost : 0;
             points -= failed->second.contains(of.info.life) ? 2 * wrong_rack_cost : 0;
         }
         points -= now < of.set_aside_until ? set_aside_cost : 0;
@@ -82,14 +82,14 @@
 bool dispatcher::is_usable(time_point now, const worker_view& of, bool urgent) const
 {
     const bool set_aside = now < of.set_aside_until && !ignore_set_aside_ && !urgent;
-    return is_present(now, of) && of.info.state == fleet::worker_state::ready && !of.over_at.has_value() &&
-           of.contacted && of.clock.known() && of.silent_calls <= options_.max_silent_calls && !set_aside &&
-           now >= of.no_room_until;
+    return is_present(now, of) && of.info.state == fleet::worker_state::ready && !of.departs_at.has_value() &&
+           of.contacted && of.clock.known() && of.unanswered_calls <= options_.max_unanswered_calls &&
+           !set_aside && now >= of.no_room_until;
 }
 
 bool dispatcher::is_present(time_point now, const worker_view& of) const noexcept
 {
-    const bool announces = now < of.announced_at + options_.announce_silence;
+    const bool announces = now < of.announced_at + options_.announcement_timeout;
     const bool answers = now < of.answered_at + options_.answer_timeout &&
                          now < of.announced_at + options_.max_announcement_age;
     return of.announced && (announces || answers);
@@ -246,7 +246,7 @@
     out.filler_left = cpu_left(of, true);
     out.whole_milli = of.info.room.cpu_milli;
     out.filler_milli = of.filler_cpu_milli;
-    out.handicap = blame_cost * of.blame + (of.prime_suspects > 0 ? beside_prime_suspect_cost : 0);
+    out.handicap = blame_cost * of.failure_score + (of.critical_suspects > 0 ? beside_prime_suspect_cost : 0);
     out.serving_runs = of.serving_runs;
     out.runs = &of.digest;
     return out;
--- a/src/dispatch/worker_clock.cpp
+++ b/src/dispatch/worker_clock.cpp
@@ -5,7 +5,7 @@
 
 void worker_clock::observe(std::int64_t clock_ms, time_point received_at) noexcept
 {
-    if (known() && clock_ms < at_least(received_at))
+    if (known() && clock_ms < lower_bound(received_at))
     {
         return; // an older answer that was overtaken tells less than what is known
     }
@@ -13,7 +13,7 @@
     received_at_ = received_at;
 }
 
-std::int64_t worker_clock::at_least(time_point now) const noexcept
+std::int64_t worker_clock::lower_bound(time_point now) const noexcept
 {
     if (!known() || now <= *received_at_)
     {
@@ -23,7 +23,7 @@
     return clock_ms_ + static_cast<std::int64_t>(static_cast<double>(passed) * slowest_);
 }
 
-time_point worker_clock::surely_past(std::int64_t clock_ms) const noexcept
+time_point worker_clock::certainly_past(std::int64_t clock_ms) const noexcept
 {
     const std::int64_t left = clock_ms - clock_ms_;
     if (!known() || left < 0)
--- a/src/job_server/control_http.cpp
+++ b/src/job_server/control_http.cpp
@@ -309,7 +309,7 @@
                           const metrics::measured_part hearing(metrics::loop_part::announcements);
                           for (const fleet::announcement& one : heard)
                           {
-                              if (!dispatcher_.still_alive(now, one.life))
+                              if (!dispatcher_.refresh_liveness(now, one.life))
                               {
                                   dispatcher_.announced(now, one);
                               }
@@ -392,10 +392,10 @@
 
 void add_lapse_lines(counter_lines& to, const dispatch::lapse_counts& of)
 {
-    for (std::size_t by = 0; by < dispatch::lapse_finder_count; ++by)
+    for (std::size_t by = 0; by < dispatch::lapse_detector_count; ++by)
     {
         const std::string finder =
-            metrics::label("found_by", to_string(static_cast<dispatch::lapse_finder>(by)));
+            metrics::label("found_by", to_string(static_cast<dispatch::lapse_detector>(by)));
         for (std::size_t why = 0; why < dispatch::lapse_cause_count; ++why)
         {
             const std::string cause =
@@ -410,8 +410,8 @@
     add(to, "plumspoke_orders_total", "kind", "start", of.starts_ordered);
     add(to, "plumspoke_orders_total", "kind", "stop", of.stops_ordered);
     add(to, "plumspoke_orders_total", "kind", "pace", of.paces_ordered);
-    add(to, "plumspoke_orders_total", "kind", "hold", of.holds);
-    add(to, "plumspoke_orders_failed_total", "reason", "hold_unanswered", of.holds_unanswered);
+    add(to, "plumspoke_orders_total", "kind", "hold", of.polls);
+    add(to, "plumspoke_orders_failed_total", "reason", "hold_unanswered", of.polls_unanswered);
     add(to, "plumspoke_orders_failed_total", "reason", "start_unanswered", of.starts_unanswered);
     add(to, "plumspoke_orders_failed_total", "reason", "start_no_room", of.starts_rejected_no_room);
     add(to, "plumspoke_orders_failed_total", "reason", "start_rejected", of.starts_rejected_other);
@@ -422,7 +422,7 @@
     add(to, "plumspoke_run_ends_total", "how", "lost", of.ends_lost);
     add(to, "plumspoke_run_ends_total", "how", "crashed", of.ends_crashed);
     add(to, "plumspoke_run_ends_total", "how", "not_begun", of.ends_not_begun);
-    add(to, "plumspoke_runs_moved_total", "reason", "standstill", of.moved_standstill);
+    add(to, "plumspoke_runs_moved_total", "reason", "standstill", of.moved_stalled);
     add(to, "plumspoke_runs_moved_total", "reason", "straggler", of.moved_straggler);
     add(to, "plumspoke_runs_moved_total", "reason", "drain", of.moved_drain);
     add(to, "plumspoke_runs_moved_total", "reason", "pace", of.moved_pace);
--- a/src/job_server/control_loop.cpp
+++ b/src/job_server/control_loop.cpp
@@ -43,9 +43,9 @@
 ///        out.
 void add_lapses(logging::event& to, const dispatch::lapse_counts& of)
 {
-    for (std::size_t by = 0; by < dispatch::lapse_finder_count; ++by)
+    for (std::size_t by = 0; by < dispatch::lapse_detector_count; ++by)
     {
-        const std::string finder(to_string(static_cast<dispatch::lapse_finder>(by)));
+        const std::string finder(to_string(static_cast<dispatch::lapse_detector>(by)));
         for (std::size_t why = 0; why < dispatch::lapse_cause_count; ++why)
         {
             if (const std::uint64_t count = of.at(by).at(why); count > 0)
@@ -115,7 +115,7 @@
 
 void control_server::step_when_due(time_point wanted_at)
 {
-    const time_point due_at = std::max(wanted_at, pace_.next_at());
+    const time_point due_at = std::max(wanted_at, decision_limiter_.next_at());
     if (std::chrono::steady_clock::now() >= due_at)
     {
         note_late(due_at);
@@ -139,7 +139,7 @@
     const std::int64_t late_us = microseconds_since(wanted_at);
     loop_late_.record(late_us);
     window_.late_us = std::max(window_.late_us, late_us);
-    dispatcher_.note_late(std::chrono::steady_clock::now(), duration(late_us));
+    dispatcher_.record_lateness(std::chrono::steady_clock::now(), duration(late_us));
 }
 
 void control_server::step()
@@ -162,7 +162,7 @@
         ++window_.without_lease;
         return;
     }
-    if (pace_.gives_way(now, std::chrono::duration_cast<duration>(status.lease_end - now)))
+    if (decision_limiter_.should_defer(now, std::chrono::duration_cast<duration>(status.lease_end - now)))
     {
         ++counts_.steps_given_way;
         return; // the timer leads to the next step
@@ -170,7 +170,7 @@
     dispatch::dispatch_output decided = decide(now);
     carry_out(decided);
     refuses_jobs_ = dispatcher_.refuses_jobs(now);
-    pace_.note(now, std::chrono::steady_clock::now());
+    decision_limiter_.record(now, std::chrono::steady_clock::now());
 }
 
 dispatch::dispatch_output control_server::decide(time_point now)
@@ -299,7 +299,7 @@
     if (dispatcher_.leading())
     {
         write_retired(now, status);
-        dispatcher_.retire();
+        dispatcher_.step_down();
         refuses_jobs_ = false;
         caller_->reset();
     }
--- a/src/job_server/worker_caller.cpp
+++ b/src/job_server/worker_caller.cpp
@@ -77,8 +77,8 @@
 /// @brief Whether an order changes nothing at whoever answers it.
 bool only_asks(const dispatch::order& what)
 {
-    const auto* hold = std::get_if<dispatch::hold_order>(&what);
-    return hold != nullptr && !hold->lease_until_ms.has_value() && hold->ends_noted == 0;
+    const auto* hold = std::get_if<dispatch::poll_order>(&what);
+    return hold != nullptr && !hold->lease_until_ms.has_value() && hold->ends_recorded == 0;
 }
 
 /// @brief Whether an order may go to whatever life answers.
@@ -98,12 +98,12 @@
 }
 
 /// @brief What asks the recipient of an order for its lists, and with them for its time of birth.
-dispatch::hold_order question_to(const dispatch::order& what)
+dispatch::poll_order question_to(const dispatch::order& what)
 {
     return std::visit(
         [](const auto& one)
         {
-            dispatch::hold_order question;
+            dispatch::poll_order question;
             question.to = one.to;
             question.fencing_token = one.fencing_token;
             return question;
@@ -113,7 +113,7 @@
 
 milliseconds limit_of(const dispatch::order& what)
 {
-    const auto* hold = std::get_if<dispatch::hold_order>(&what);
+    const auto* hold = std::get_if<dispatch::poll_order>(&what);
     if (hold == nullptr)
     {
         return order_limit;
@@ -338,7 +338,7 @@
     /// @brief Learns whose connection it is from an answer that tells a time of birth.
     [[nodiscard]] dispatch::worker_answer check_life(dispatch::worker_answer got)
     {
-        const bool is_list = asking_ || std::holds_alternative<dispatch::hold_order>(current_->what);
+        const bool is_list = asking_ || std::holds_alternative<dispatch::poll_order>(current_->what);
         if (to_.worker.born_ms == 0 || !is_list || got.how != dispatch::reply::done)
         {
             return got;
@@ -360,7 +360,7 @@
         {
             return;
         }
-        const bool poll = std::holds_alternative<dispatch::hold_order>(current_->what);
+        const bool poll = std::holds_alternative<dispatch::poll_order>(current_->what);
         ++(poll ? owner_->silent_.polls : owner_->silent_.orders);
     }
 
@@ -428,7 +428,7 @@
 
 void worker_caller::send(dispatch::order what)
 {
-    const bool poll = std::holds_alternative<dispatch::hold_order>(what);
+    const bool poll = std::holds_alternative<dispatch::poll_order>(what);
     const dispatch::recipient& recipient = std::visit(
         [](const auto& one) -> const dispatch::recipient&
         {
--- a/tests/src/dispatcher_fixture.hpp
+++ b/tests/src/dispatcher_fixture.hpp
@@ -86,9 +86,9 @@
         orders.clear();
         for (order& one : out.orders)
         {
-            if (const auto* hold = std::get_if<hold_order>(&one); hold != nullptr)
+            if (const auto* hold = std::get_if<poll_order>(&one); hold != nullptr)
             {
-                open_holds.push_back(*hold);
+                open_polls.push_back(*hold);
             }
             else
             {
@@ -129,18 +129,18 @@
     }
 
     /// @brief Answers the oldest open poll of a worker.
-    void answer_hold(worker_answer got)
+    void answer_poll(worker_answer got)
     {
-        REQUIRE_FALSE(open_holds.empty());
-        const hold_order sent = open_holds.front();
-        open_holds.erase(open_holds.begin());
+        REQUIRE_FALSE(open_polls.empty());
+        const poll_order sent = open_polls.front();
+        open_polls.erase(open_polls.begin());
         answer(sent, std::move(got));
     }
 
     /// @brief Answers all open polls with these rows; one worker may be silent.
-    void answer_holds(const std::vector<running_row>& rows = {}, const std::string& silent = {})
+    void answer_polls(const std::vector<running_row>& rows = {}, const std::string& silent = {})
     {
-        for (const hold_order& one : std::exchange(open_holds, {}))
+        for (const poll_order& one : std::exchange(open_polls, {}))
         {
             worker_answer got;
             got.how = one.to.worker.id == silent ? reply::none : reply::done;
@@ -171,7 +171,7 @@
     dispatcher leader{dispatch_options{}};
     std::vector<planned_round> rounds;
     std::vector<order> orders; // of the last decision, without polls
-    std::vector<hold_order> open_holds;
+    std::vector<poll_order> open_polls;
     std::vector<logging::event> events;           // of the last decision
     std::vector<std::int64_t> cancels_stopped_ms; // of the last decision
 };
--- a/tests/src/unit-bounded_retries.cpp
+++ b/tests/src/unit-bounded_retries.cpp
@@ -81,7 +81,7 @@
         f.announce("w" + std::to_string(i));
     }
     f.decide();
-    f.answer_holds();
+    f.answer_polls();
     f.submit({});
     const dispatch::reply how = GENERATE(dispatch::reply::malformed, dispatch::reply::no_room);
     std::size_t starts = 0;
@@ -96,7 +96,7 @@
         {
             f.answer(one, {how, {}, {}, {}});
         }
-        f.answer_holds();
+        f.answer_polls();
         f.commit();
         if (passed % seconds(1) == duration{})
         {
--- a/tests/src/unit-cancelled_runs.cpp
+++ b/tests/src/unit-cancelled_runs.cpp
@@ -44,7 +44,7 @@
 {
     f.announce("w1");
     f.decide();
-    f.answer_holds();
+    f.answer_polls();
     f.submit(lasting_tasks(1));
     f.decide();
     f.commit();
@@ -73,7 +73,7 @@
         for (int i = 0; i < 4; ++i)
         {
             f.decide();
-            f.answer_holds();
+            f.answer_polls();
         }
         f.commit();
         CHECK(f.leader.runs().empty());
@@ -100,7 +100,7 @@
         {
             again = f.now;
         }
-        f.answer_holds({{started.name, "", 100, 0}});
+        f.answer_polls({{started.name, "", 100, 0}});
     }
     REQUIRE(again.has_value());
     CHECK(*again > acknowledged + milliseconds(900)); // a worker may take so long
@@ -122,7 +122,7 @@
     {
         f.decide(milliseconds(50));
         again += f.sent<stop_order>().size();
-        f.answer_holds({}, "w1");
+        f.answer_polls({}, "w1");
     }
     CHECK(again > 0);
 }
@@ -150,7 +150,7 @@
     fixture f;
     f.announce("w1");
     f.decide();
-    f.answer_holds();
+    f.answer_polls();
     f.submit(lasting_tasks(10));
     f.decide();
     f.commit();
@@ -171,7 +171,7 @@
         }
         if (f.now >= next_hold_answer)
         {
-            f.answer_holds({}, "w1");
+            f.answer_polls({}, "w1");
             next_hold_answer = f.now + milliseconds(900);
         }
         for (const planned_round& one : f.rounds)
@@ -194,7 +194,7 @@
     fixture f;
     f.announce("w1");
     f.decide();
-    f.answer_holds();
+    f.answer_polls();
     jobs::step_spec step;
     step.filler = true;
     f.submit(step);
@@ -203,10 +203,10 @@
     f.decide();
     const start_order started = f.sent<start_order>().at(0);
     f.answer(started, {reply::done, {}, {}, {}});
-    f.open_holds.clear();
+    f.open_polls.clear();
     f.leader.lead(f.now, 8, f.state); // which doesn't know the run's pace
     f.decide();
-    f.answer_holds({{started.name, "", 10, 0}});
+    f.answer_polls({{started.name, "", 10, 0}});
 
     SECTION("refused")
     {
--- a/tests/src/unit-crash_blame.cpp
+++ b/tests/src/unit-crash_blame.cpp
@@ -40,7 +40,7 @@
         fleet::announcement next = leader.workers().at({worker}).info;
         next.life.id = next_life;
         next.sequence = 1;
-        hold_order asked;
+        poll_order asked;
         asked.to = {{worker}, next.address};
         answer(asked, {reply::other_life, {}, {}, {}});
         leader.announced(now, next);
@@ -54,7 +54,7 @@
             announce("w" + std::to_string(i));
         }
         decide();
-        answer_holds();
+        answer_polls();
         decide();
     }
 
@@ -128,7 +128,7 @@
         f.start_all();
         f.crash("w0", "w0-next");
         f.decide();
-        f.answer_holds();
+        f.answer_polls();
         f.start_all();
         REQUIRE(f.worker_of(first) == "w0-next"); // alone: the other suspect waits
         f.crash("w0-next", "w0-third");
@@ -158,7 +158,7 @@
         f.announce("w1");
         f.announce("w2");
         f.decide();
-        f.answer_holds();
+        f.answer_polls();
         f.crash("w0", "w0-next");
         f.start_all();
         CHECK(f.worker_of(first) != f.worker_of(second));
@@ -169,7 +169,7 @@
     {
         f.crash("w0", "w0-next");
         f.decide();
-        f.answer_holds();
+        f.answer_polls();
         f.decide();
         f.commit();
         CHECK(f.leader.runs().size() == 1);
@@ -189,18 +189,18 @@
     constexpr std::size_t workers = 40;
     for (int i = 0; i < 8; ++i)
     {
-        of.note(start, "address" + std::to_string(i));
+        of.record(start, "address" + std::to_string(i));
     }
     CHECK_FALSE(of.is_widespread(start, 0, workers));
     CHECK(of.is_widespread(start, 1, workers));
-    of.note(start, "address10");
+    of.record(start, "address10");
     CHECK(of.is_widespread(start, 0, workers));
     CHECK_FALSE(of.is_widespread(start + seconds(6), 0, workers));
 
     SECTION("and an address is trusted again after a minute")
     {
-        CHECK(of.had_one(start + seconds(60), "address10"));
-        CHECK_FALSE(of.had_one(start + seconds(61), "address10"));
-        CHECK_FALSE(of.had_one(start, "address11"));
+        CHECK(of.crashed_recently(start + seconds(60), "address10"));
+        CHECK_FALSE(of.crashed_recently(start + seconds(61), "address10"));
+        CHECK_FALSE(of.crashed_recently(start, "address11"));
     }
 }
--- a/tests/src/unit-decision_pace.cpp
+++ b/tests/src/unit-decision_rate_limiter.cpp
@@ -6,12 +6,12 @@
 /// answers, on other threads of the process, wait for a turn of the same processors, twice for each renewal.
 /// Cause: a decision was made however little was left of the lease that it rests on.
 
-#include "plumspoke/dispatch/decision_pace.hpp"
+#include "plumspoke/dispatch/decision_rate_limiter.hpp"
 
 #include <catch2/catch.hpp>
 
 using namespace plumspoke;
-using dispatch::decision_pace;
+using dispatch::decision_rate_limiter;
 
 namespace
 {
@@ -22,21 +22,21 @@
 
 TEST_CASE("a decision gives way while little is left of the leader's lease")
 {
-    decision_pace pace;
-    CHECK_FALSE(pace.gives_way(start, milliseconds(600)));
-    CHECK_FALSE(pace.gives_way(start, milliseconds(250)));
-    CHECK(pace.gives_way(start, milliseconds(249)));
-    CHECK(pace.gives_way(start + milliseconds(150), milliseconds(100)));
-    CHECK_FALSE(pace.gives_way(start + milliseconds(175), milliseconds(580))); // renewed
+    decision_rate_limiter pace;
+    CHECK_FALSE(pace.should_defer(start, milliseconds(600)));
+    CHECK_FALSE(pace.should_defer(start, milliseconds(250)));
+    CHECK(pace.should_defer(start, milliseconds(249)));
+    CHECK(pace.should_defer(start + milliseconds(150), milliseconds(100)));
+    CHECK_FALSE(pace.should_defer(start + milliseconds(175), milliseconds(580))); // renewed
 }
 
 TEST_CASE("where peers are always slow, decisions are made all the same")
 {
-    decision_pace pace;
+    decision_rate_limiter pace;
     int decisions = 0;
     for (int ms = 0; ms < 2000; ms += 25)
     {
-        decisions += pace.gives_way(start + milliseconds(ms), milliseconds(200)) ? 0 : 1;
+        decisions += pace.should_defer(start + milliseconds(ms), milliseconds(200)) ? 0 : 1;
     }
     CHECK(decisions >= 8);
     CHECK(decisions <= 12);
@@ -44,9 +44,9 @@
 
 TEST_CASE("a leader rests for three times what a decision took, 50 ms at most")
 {
-    decision_pace pace;
-    pace.note(start, start + milliseconds(4));
+    decision_rate_limiter pace;
+    pace.record(start, start + milliseconds(4));
     CHECK(pace.next_at() == start + milliseconds(16));
-    pace.note(start, start + milliseconds(40));
+    pace.record(start, start + milliseconds(40));
     CHECK(pace.next_at() == start + milliseconds(90));
 }
--- a/tests/src/unit-dispatcher.cpp
+++ b/tests/src/unit-dispatcher.cpp
@@ -12,7 +12,7 @@
     fixture f;
     f.announce("w1");
     f.decide();
-    f.answer_holds();
+    f.answer_polls();
     f.submit({});
     f.decide();
     CHECK(f.starts_proposed() == 1);
@@ -31,7 +31,7 @@
     f.announce("w2");
     f.announce("w3");
     f.decide();
-    f.answer_holds();
+    f.answer_polls();
     jobs::step_spec step;
     step.copies_allowed = true;
     f.submit(step);
@@ -44,7 +44,7 @@
     for (int i = 0; i < 60; ++i) // its worker falls silent
     {
         f.decide(milliseconds(50));
-        f.answer_holds({}, first.to.worker.id);
+        f.answer_polls({}, first.to.worker.id);
         for (const planned_round& one : f.rounds)
         {
             for (const jobs::run_started& grant : one.command.starts)
@@ -64,7 +64,7 @@
     fixture f;
     f.announce("w1");
     f.decide();
-    f.answer_holds();
+    f.answer_polls();
     f.submit({});
     f.decide();
     f.commit();
@@ -82,7 +82,7 @@
     for (int i = 0; i < 10 && f.rounds.empty(); ++i)
     {
         f.decide(milliseconds(50));
-        f.answer_holds();
+        f.answer_polls();
     }
     f.decide();
     REQUIRE(f.rounds.size() == 1);
@@ -95,7 +95,7 @@
     fixture f;
     f.announce("w1");
     f.decide();
-    f.answer_holds();
+    f.answer_polls();
     f.submit({});
     f.decide();
     f.commit();
@@ -107,7 +107,7 @@
     while (f.rounds.empty() && f.now < last_contact + seconds(20))
     {
         f.decide(milliseconds(50));
-        f.answer_holds({}, "w1");
+        f.answer_polls({}, "w1");
         if (!f.rounds.empty() && !f.rounds[0].command.begun.empty())
         {
             ++told_begun;
@@ -129,7 +129,7 @@
     fixture f;
     f.announce("w1");
     f.decide();
-    f.answer_holds();
+    f.answer_polls();
     jobs::step_spec lasting;
     lasting.lasting = true;
     f.submit(lasting, "lasting");
@@ -143,14 +143,14 @@
         f.announce("w1"); // its own way to us is open
         f.decide(milliseconds(50));
         f.commit();
-        f.answer_holds({}, "w1");
+        f.answer_polls({}, "w1");
     }
     REQUIRE(f.leader.runs().empty());
     for (int i = 0; i < 20 && f.starts_proposed() == 0; ++i)
     {
         f.announce("w1");
         f.decide(milliseconds(50));
-        f.answer_holds();
+        f.answer_polls();
     }
     CHECK(f.starts_proposed() == 1);
 }
@@ -160,7 +160,7 @@
     fixture f;
     f.announce("w1");
     f.decide();
-    f.answer_holds();
+    f.answer_polls();
     f.submit({});
     f.decide();
     f.commit();
@@ -168,21 +168,21 @@
     const start_order sent = f.sent<start_order>().at(0);
     f.answer(sent, {reply::done, {}, {}, {}});
     f.decide();
-    REQUIRE(f.open_holds.size() == 1);
+    REQUIRE(f.open_polls.size() == 1);
     worker_answer got;
     got.how = reply::done;
     got.finished.push_back({1, sent.name, jobs::run_end::done, ""});
-    f.answer_hold(got);
+    f.answer_poll(got);
     f.decide();
-    CHECK(f.open_holds.empty()); // no poll that would say so yet
+    CHECK(f.open_polls.empty()); // no poll that would say so yet
     CHECK(f.rounds.size() == 1);
     f.commit();
     CHECK(f.state.find("job")->phase == jobs::job_phase::completed);
     f.decide();
-    CHECK(f.open_holds.empty()); // more ends may follow at once: one poll for all of them
+    CHECK(f.open_polls.empty()); // more ends may follow at once: one poll for all of them
     f.decide(milliseconds(50));
-    REQUIRE(f.open_holds.size() == 1); // within 100 ms of the answer that listed it
-    CHECK(f.open_holds[0].ends_noted == 1);
+    REQUIRE(f.open_polls.size() == 1); // within 100 ms of the answer that listed it
+    CHECK(f.open_polls[0].ends_recorded == 1);
 }
 
 TEST_CASE("a lasting task that lost its worker gets room though short tasks never stop coming")
@@ -190,7 +190,7 @@
     fixture f;
     f.announce("w1");
     f.decide();
-    f.answer_holds();
+    f.answer_polls();
     jobs::step_spec lasting;
     lasting.lasting = true;
     lasting.needs = {8000, 100, 0};
@@ -201,7 +201,7 @@
     f.answer(f.sent<start_order>().at(0), {reply::done, {}, {}, {}});
     f.announce("w2");
     f.decide();
-    f.answer_holds();
+    f.answer_polls();
     jobs::step_spec many;
     many.task_count = 60;
     f.submit(many, "short");
@@ -218,7 +218,7 @@
         }
     }
     REQUIRE(on_second.size() == 16);
-    f.leader.said_goodbye(f.now, {"w1"});
+    f.leader.departed(f.now, {"w1"});
     f.decide(milliseconds(600));
     f.commit();
 
@@ -227,7 +227,7 @@
     {
         f.announce("w2");
         f.decide();
-        for (const hold_order& one : std::exchange(f.open_holds, {}))
+        for (const poll_order& one : std::exchange(f.open_polls, {}))
         {
             worker_answer got;
             got.how = one.to.worker.id == "w2" ? reply::done : reply::none;
@@ -262,7 +262,7 @@
     worker_answer got;
     got.how = reply::done;
     got.running.push_back({{{"unknown", 0, 0, 0}, 4}, "", 10, 0});
-    f.answer_hold(got);
+    f.answer_poll(got);
     f.decide();
     REQUIRE(f.sent<stop_order>().size() == 1);
     CHECK(f.sent<stop_order>()[0].name.task.job == "unknown");
@@ -273,7 +273,7 @@
     fixture f;
     f.announce("w1");
     f.decide();
-    f.answer_holds();
+    f.answer_polls();
     std::uint64_t number = 0;
     const auto fail_one = [&](const std::string& id)
     {
@@ -287,12 +287,12 @@
         worker_answer got;
         got.how = reply::done;
         got.finished.push_back({++number, sent.name, jobs::run_end::failed, ""});
-        f.answer_hold(got);
+        f.answer_poll(got);
         f.decide();
         (void)f.state.apply(jobs::cancel{id, day_ms});
         f.commit();
         f.decide();
-        f.answer_holds();
+        f.answer_polls();
     };
     fail_one("a");
     fail_one("b");
@@ -313,7 +313,7 @@
         }
         return found;
     };
-    const auto lapsed = [&f](lapse_finder found_by, lapse_cause cause)
+    const auto lapsed = [&f](lapse_detector found_by, lapse_cause cause)
     {
         return f.leader.counts()
             .runs_lapsed.at(static_cast<std::size_t>(found_by))
@@ -325,7 +325,7 @@
     };
     f.announce("w1");
     f.decide();
-    f.answer_holds();
+    f.answer_polls();
     f.submit({});
     f.decide();
     f.commit();
@@ -338,11 +338,11 @@
         while (f.rounds.empty() || f.rounds.back().command.ends.empty())
         {
             f.decide(milliseconds(50));
-            f.answer_holds({}, "w1");
+            f.answer_polls({}, "w1");
         }
         const std::string line = lapsed_line();
         CAPTURE(line);
-        CHECK(lapsed(lapse_finder::leader, lapse_cause::silent) == 1);
+        CHECK(lapsed(lapse_detector::leader, lapse_cause::silent) == 1);
         CHECK(says(line, "\"how\":3"));
         CHECK(says(line, "\"cause\":\"silent\""));
         CHECK(says(line, "\"contacted\":1"));
@@ -352,11 +352,11 @@
 
     SECTION("its poll was open, since nothing was decided for long")
     {
-        REQUIRE_FALSE(f.open_holds.empty());
+        REQUIRE_FALSE(f.open_polls.empty());
         f.decide(seconds(6));
         const std::string line = lapsed_line();
         CAPTURE(line);
-        CHECK(lapsed(lapse_finder::leader, lapse_cause::poll_open) == 1);
+        CHECK(lapsed(lapse_detector::leader, lapse_cause::poll_open) == 1);
         CHECK(says(line, "\"cause\":\"poll_open\""));
         CHECK(says(line, "\"lease_age_ms\":6000"));
         CHECK(says(line, "\"poll_in_flight\":1"));
@@ -365,23 +365,23 @@
 
     SECTION("it was not asked, since nothing was decided for long")
     {
-        f.answer_holds({{f.sent<start_order>().at(0).name, {}, 10, 0}});
+        f.answer_polls({{f.sent<start_order>().at(0).name, {}, 10, 0}});
         f.decide(seconds(6));
-        CHECK(lapsed(lapse_finder::leader, lapse_cause::not_asked) == 1);
+        CHECK(lapsed(lapse_detector::leader, lapse_cause::not_asked) == 1);
         CHECK(says(lapsed_line(), "\"cause\":\"not_asked\""));
     }
 
     SECTION("it did not answer the next leader")
     {
         f.leader.lead(f.now, 8, f.state);
-        f.open_holds.clear();
+        f.open_polls.clear();
         while (f.rounds.empty())
         {
             f.decide(milliseconds(50));
         }
         const std::string line = lapsed_line();
         CAPTURE(line);
-        CHECK(lapsed(lapse_finder::leader, lapse_cause::not_contacted) == 1);
+        CHECK(lapsed(lapse_detector::leader, lapse_cause::not_contacted) == 1);
         CHECK(says(line, "\"answer_age_ms\":-1"));
         CHECK(says(line, "\"lease_age_ms\":-1"));
         CHECK(says(line, "\"contacted\":0"));
@@ -398,13 +398,13 @@
 
     SECTION("its worker says so: no lease was sent to it for long")
     {
-        f.answer_hold({reply::done, {}, {{run, {}, 10, 0}}, {}});
+        f.answer_poll({reply::done, {}, {{run, {}, 10, 0}}, {}});
         f.decide(milliseconds(4100));
-        f.answer_hold(end_of_run());
+        f.answer_poll(end_of_run());
         f.decide();
         const std::string line = lapsed_line();
         CAPTURE(line);
-        CHECK(lapsed(lapse_finder::worker, lapse_cause::asked_late) == 1);
+        CHECK(lapsed(lapse_detector::worker, lapse_cause::asked_late) == 1);
         CHECK(says(line, "\"found_by\":\"worker\""));
         CHECK(says(line, "\"lease_gap_ms\":4100"));
         CHECK(says(line, "\"contacted\":1"));
@@ -412,23 +412,23 @@
 
     SECTION("its worker says so, though leases were sent in time")
     {
-        f.answer_hold({reply::done, {}, {{run, {}, 10, 0}}, {}});
+        f.answer_poll({reply::done, {}, {{run, {}, 10, 0}}, {}});
         f.decide(milliseconds(1000));
-        f.answer_hold(end_of_run());
+        f.answer_poll(end_of_run());
         f.decide();
-        CHECK(lapsed(lapse_finder::worker, lapse_cause::renewed) == 1);
+        CHECK(lapsed(lapse_detector::worker, lapse_cause::renewed) == 1);
     }
 
     SECTION("its worker says so in its first answer to the next leader")
     {
         f.leader.lead(f.now, 8, f.state);
-        f.open_holds.clear();
+        f.open_polls.clear();
         f.decide(milliseconds(1500));
-        f.answer_hold(end_of_run());
+        f.answer_poll(end_of_run());
         f.decide();
         const std::string line = lapsed_line();
         CAPTURE(line);
-        CHECK(lapsed(lapse_finder::worker, lapse_cause::not_contacted) == 1);
+        CHECK(lapsed(lapse_detector::worker, lapse_cause::not_contacted) == 1);
         CHECK(says(line, "\"contacted\":0"));
         CHECK(says(line, "\"inherited\":1"));
         CHECK(says(line, "\"term_age_ms\":1500"));
@@ -440,7 +440,7 @@
     fixture f;
     f.announce("w1");
     f.decide();
-    f.answer_holds();
+    f.answer_polls();
     f.submit({});
     f.decide();
     CHECK(f.leader.count_unconfirmed(f.now).own == 0); // not recorded yet
@@ -474,7 +474,7 @@
     fixture f;
     f.announce("w1");
     f.decide();
-    f.answer_holds();
+    f.answer_polls();
     f.submit({});
     f.decide();
     f.commit();
@@ -487,7 +487,7 @@
     for (int i = 0; i < 10 && f.cancels_stopped_ms.empty(); ++i)
     {
         f.decide(milliseconds(25));
-        f.answer_holds();
+        f.answer_polls();
         f.commit();
     }
     REQUIRE(f.cancels_stopped_ms.size() == 1);
@@ -505,7 +505,7 @@
     fixture f;
     f.announce("w1");
     f.decide();
-    f.answer_holds();
+    f.answer_polls();
     f.submit({}, "first");
     f.decide();
     f.commit();
@@ -516,9 +516,9 @@
     f.decide();
     CHECK(f.starts_proposed() == 0);
     f.commit();
-    REQUIRE(f.open_holds.size() == 2); // the one from before the end of the life, and a new one that asks
-    f.open_holds.erase(f.open_holds.begin());
-    f.answer_hold({reply::other_life, {}, {}, {}});
+    REQUIRE(f.open_polls.size() == 2); // the one from before the end of the life, and a new one that asks
+    f.open_polls.erase(f.open_polls.begin());
+    f.answer_poll({reply::other_life, {}, {}, {}});
     f.decide(milliseconds(200));
     CHECK(f.starts_proposed() == 0);
     CHECK(f.leader.workers().empty());
@@ -531,7 +531,7 @@
     fixture f;
     f.announce("w1");
     f.decide();
-    f.answer_holds();
+    f.answer_polls();
     jobs::step_spec step;
     step.task_count = 2;
     step.filler = GENERATE(false, true);
@@ -544,20 +544,20 @@
     {
         f.answer(one, {reply::done, {}, {}, {}});
     }
-    f.leader.note_late(f.now, milliseconds(100));
+    f.leader.record_lateness(f.now, milliseconds(100));
     f.decide();
     worker_answer one_done;
     one_done.how = reply::done;
     const jobs::run_name other = f.leader.runs().rbegin()->first;
     one_done.finished.push_back({1, f.leader.runs().begin()->first, jobs::run_end::done, {}});
     one_done.running.push_back({other, "", 50, 1000});
-    f.answer_hold(one_done);
+    f.answer_poll(one_done);
     f.decide();
     f.commit();
     REQUIRE(f.leader.runs().size() == 1);
-    f.open_holds.clear();
+    f.open_polls.clear();
     f.decide(milliseconds(80));
-    CHECK(f.open_holds.empty() == step.filler);
+    CHECK(f.open_polls.empty() == step.filler);
     f.decide(milliseconds(500));
-    CHECK(f.open_holds.size() == 1);
+    CHECK(f.open_polls.size() == 1);
 }
--- a/tests/src/unit-dispatcher_fillers.cpp
+++ b/tests/src/unit-dispatcher_fillers.cpp
@@ -12,7 +12,7 @@
     fixture f;
     f.announce("w1");
     f.decide();
-    f.answer_holds();
+    f.answer_polls();
     jobs::step_spec serving;
     serving.lasting = true;
     serving.image = "serving";
@@ -25,7 +25,7 @@
     f.answer(sent, {reply::done, {}, {}, {}});
     f.decide();
     const std::vector<running_row> near_its_target = {{sent.name, "", 100, 45}};
-    f.answer_holds(near_its_target);
+    f.answer_polls(near_its_target);
     jobs::step_spec filler;
     filler.filler = true;
     filler.image = "filler";
@@ -36,7 +36,7 @@
     {
         f.announce("w1");
         f.decide(milliseconds(100));
-        f.answer_holds(near_its_target);
+        f.answer_polls(near_its_target);
     }
     CHECK(f.starts_proposed() == 1); // one of the two: the other doesn't press on the same worker
     CHECK(f.now > submitted + milliseconds(7900));
@@ -48,7 +48,7 @@
     f.announce("w1");
     f.announce("w2");
     f.decide();
-    f.answer_holds();
+    f.answer_polls();
     const auto worker_of = [&f](const std::string& job, const std::string& image)
     {
         jobs::step_spec serving;
@@ -77,7 +77,7 @@
     fixture f;
     f.announce("w1");
     f.decide();
-    f.answer_holds();
+    f.answer_polls();
     jobs::step_spec filler;
     filler.filler = true;
     filler.image = "filler";
@@ -87,12 +87,12 @@
     f.decide();
     const start_order sent = f.sent<start_order>().at(0);
     f.answer(sent, {reply::done, {}, {}, {}});
-    f.open_holds.clear();
+    f.open_polls.clear();
 
     f.leader.lead(f.now, 8, f.state);
     f.announce("w1");
     f.decide();
-    f.answer_holds({{sent.name, "", 10, 0}});
+    f.answer_polls({{sent.name, "", 10, 0}});
     f.decide();
     REQUIRE(f.sent<pace_order>().size() == 1);
     CHECK(f.sent<pace_order>()[0].name == sent.name);
@@ -136,7 +136,7 @@
         f.announce("w1");
         f.announce("w2");
         f.decide();
-        f.answer_holds();
+        f.answer_polls();
         jobs::step_spec serving;
         serving.lasting = true;
         serving.image = "serving";
@@ -199,7 +199,7 @@
         f.announce("w2");
         f.decide(milliseconds(100));
         f.commit();
-        f.answer_holds(rows);
+        f.answer_polls(rows);
         for (const pace_order& one : f.sent<pace_order>())
         {
             paces.push_back(one.percent);
@@ -260,13 +260,13 @@
     {
         beside.f.decide();
         const fleet::worker_life worker = beside.filling()->worker;
-        const auto asked = std::find_if(beside.f.open_holds.begin(),
-                                        beside.f.open_holds.end(),
-                                        [&worker](const hold_order& one)
+        const auto asked = std::find_if(beside.f.open_polls.begin(),
+                                        beside.f.open_polls.end(),
+                                        [&worker](const poll_order& one)
                                         {
                                             return one.to.worker == worker;
                                         });
-        REQUIRE(asked != beside.f.open_holds.end());
+        REQUIRE(asked != beside.f.open_polls.end());
         return asked->wait_ms;
     };
     const dispatch_options limits;
--- a/tests/src/unit-dispatcher_overload.cpp
+++ b/tests/src/unit-dispatcher_overload.cpp
@@ -62,7 +62,7 @@
             f.answer(one, {reply::done, {}, {}, {}});
             rows.push_back({one.name, "", 100, 0});
         }
-        f.answer_holds(rows);
+        f.answer_polls(rows);
     }
 }
 
@@ -70,7 +70,7 @@
 void finish(fixture& f, const std::string& job)
 {
     f.decide(milliseconds(100)); // polls go out
-    for (const hold_order& one : std::exchange(f.open_holds, {}))
+    for (const poll_order& one : std::exchange(f.open_polls, {}))
     {
         worker_answer got;
         got.how = reply::done;
@@ -106,7 +106,7 @@
     fixture f;
     f.announce("w1");
     f.decide();
-    f.answer_holds();
+    f.answer_polls();
     const jobs::step_spec whole_worker = step_of(1, worker_milli);
     (void)f.state.apply(job_of("a past its worth", day_ms - 20'000, whole_worker));
     (void)f.state.apply(job_of("b too late", day_ms - 2500, whole_worker)); // due in 0.5 s, runs for 1 s
@@ -126,7 +126,7 @@
         f.announce("w" + std::to_string(i));
     }
     f.decide();
-    f.answer_holds();
+    f.answer_polls();
     std::vector<running_row> rows;
     constexpr std::int64_t short_milli = 12'000;
     (void)f.state.apply(job_of("short", day_ms, step_of(2, short_milli)));
@@ -151,7 +151,7 @@
     f.announce("w1");
     f.announce("w2");
     f.decide();
-    f.answer_holds();
+    f.answer_polls();
     std::vector<running_row> rows;
     (void)f.state.apply(job_of("short", day_ms, step_of(2, 12'000)));
     settle(f, rows);
--- a/tests/src/unit-endless_wait.cpp
+++ b/tests/src/unit-endless_wait.cpp
@@ -22,7 +22,7 @@
     {
         announce("w1");
         decide();
-        answer_holds();
+        answer_polls();
     }
 
     /// @brief Lets seconds pass; polls list no run but these.
@@ -32,7 +32,7 @@
         {
             announce("w1");
             decide(milliseconds(100));
-            for (const hold_order& one : std::exchange(open_holds, {}))
+            for (const poll_order& one : std::exchange(open_polls, {}))
             {
                 worker_answer got;
                 got.how = reply::done;
--- a/tests/src/unit-fleet_and_interference.cpp
+++ b/tests/src/unit-fleet_and_interference.cpp
@@ -106,18 +106,18 @@
     dispatch::worker_clock clock(0.98);
     CHECK_FALSE(clock.known());
     clock.observe(10'000, start);
-    CHECK(clock.at_least(start + seconds(10)) == 19'800);
+    CHECK(clock.lower_bound(start + seconds(10)) == 19'800);
 
     SECTION("an answer that was overtaken changes nothing")
     {
         clock.observe(10'100, start + seconds(5));
-        CHECK(clock.at_least(start + seconds(10)) == 19'800);
+        CHECK(clock.lower_bound(start + seconds(10)) == 19'800);
     }
     SECTION("a time is past only when the slowest clock has reached it")
     {
-        CHECK(clock.surely_past(14'000) > start + milliseconds(4080));
-        CHECK(clock.surely_past(14'000) < start + milliseconds(4085));
-        CHECK(clock.surely_past(9'000) == start);
+        CHECK(clock.certainly_past(14'000) > start + milliseconds(4080));
+        CHECK(clock.certainly_past(14'000) < start + milliseconds(4085));
+        CHECK(clock.certainly_past(9'000) == start);
     }
 }
 
--- a/tests/src/unit-large_fleet.cpp
+++ b/tests/src/unit-large_fleet.cpp
@@ -70,8 +70,8 @@
         f.announce(name(i));
     }
     f.decide();
-    CHECK(f.open_holds.size() == 256);
-    for (const hold_order& one : f.open_holds)
+    CHECK(f.open_polls.size() == 256);
+    for (const poll_order& one : f.open_polls)
     {
         CHECK(one.to.worker.id >= name(workers - with_runs));
     }
@@ -79,7 +79,7 @@
     {
         f.decide();
     }
-    CHECK(f.open_holds.size() == workers);
+    CHECK(f.open_polls.size() == workers);
 }
 
 TEST_CASE("an index asks for each kind once, and gives the best first")
--- a/tests/src/unit-late_announcements.cpp
+++ b/tests/src/unit-late_announcements.cpp
@@ -16,7 +16,7 @@
     for (const time_point end = f.now + span; f.now < end;)
     {
         f.decide(milliseconds(50));
-        f.answer_holds({{running, "", 100, 0}}, silent);
+        f.answer_polls({{running, "", 100, 0}}, silent);
         f.commit();
     }
 }
@@ -35,7 +35,7 @@
     fixture f;
     f.announce("w1");
     f.decide();
-    f.answer_holds();
+    f.answer_polls();
     jobs::step_spec step;
     step.lasting = true;
     f.submit(step);
--- a/tests/src/unit-late_starts.cpp
+++ b/tests/src/unit-late_starts.cpp
@@ -74,7 +74,7 @@
         f.announce("worker" + std::to_string(i));
     }
     f.decide();
-    f.answer_holds();
+    f.answer_polls();
 }
 
 } // namespace
@@ -97,7 +97,7 @@
     fixture f;
     f.announce("worker");
     f.decide();
-    f.answer_holds();
+    f.answer_polls();
     hand_in(f, {"brief", kind::brief, 1, 0});
     f.decide();
     REQUIRE(count_starts(f, "brief") == 1);
--- a/tests/src/unit-strain.cpp
+++ b/tests/src/unit-overload_controller.cpp
@@ -2,12 +2,12 @@
 /// @brief When a leader counts as behind, and what it leaves for later then.
 
 #include "dispatcher_fixture.hpp"
-#include "plumspoke/dispatch/strain.hpp"
+#include "plumspoke/dispatch/overload_controller.hpp"
 
 #include <algorithm>
 
 using namespace plumspoke;
-using dispatch::strain;
+using dispatch::overload_controller;
 using namespace plumspoke::dispatch::dispatcher_test;
 
 namespace
@@ -17,14 +17,14 @@
 
 /// @brief Looks that come on time, but for one in so many.
 /// @return how many of them refuse jobs
-int count_refusals(strain& of, int looks, int late_one_in, duration late)
+int count_refusals(overload_controller& of, int looks, int late_one_in, duration late)
 {
     time_point now{seconds(1000)};
     int refused = 0;
     for (int i = 1; i <= looks; ++i)
     {
         now += look_interval;
-        of.note(now, i % late_one_in == 0 ? late : duration(0));
+        of.record(now, i % late_one_in == 0 ? late : duration(0));
         refused += of.refuses_jobs(now) ? 1 : 0;
     }
     return refused;
@@ -34,41 +34,41 @@
 
 TEST_CASE("a leader that is late now and then keeps taking jobs")
 {
-    strain of;
+    overload_controller of;
     CHECK(count_refusals(of, 800, 36, milliseconds(160)) == 0);
 }
 
 TEST_CASE("a long pause and another one a second later are no reason to refuse jobs")
 {
-    strain of;
+    overload_controller of;
     const time_point start{seconds(1000)};
-    of.note(start, seconds(5)); // the process stood still
+    of.record(start, seconds(5)); // the process stood still
     for (auto passed = look_interval; passed < milliseconds(950); passed += look_interval)
     {
-        of.note(start + passed, duration(0));
+        of.record(start + passed, duration(0));
     }
-    of.note(start + milliseconds(950), milliseconds(160));
+    of.record(start + milliseconds(950), milliseconds(160));
     CHECK_FALSE(of.refuses_jobs(start + milliseconds(950)));
     CHECK_FALSE(of.refuses_jobs(start + milliseconds(1500)));
 }
 
 TEST_CASE("a leader that is late all the time refuses jobs after a second, and takes them again")
 {
-    strain of;
+    overload_controller of;
     time_point now{seconds(1000)};
     const time_point start = now;
     for (; now < start + milliseconds(1000); now += milliseconds(200))
     {
-        of.note(now, milliseconds(200));
+        of.record(now, milliseconds(200));
         CHECK_FALSE(of.refuses_jobs(now));
     }
-    of.note(now, milliseconds(200));
+    of.record(now, milliseconds(200));
     CHECK(of.refuses_jobs(now));
     CHECK(of.starts_allowed() < 32);
     for (int i = 0; i < 60; ++i)
     {
         now += look_interval;
-        of.note(now, duration(0));
+        of.record(now, duration(0));
     }
     CHECK_FALSE(of.refuses_jobs(now));
     CHECK(of.starts_allowed() == 512);
@@ -82,10 +82,10 @@
         f.announce("w" + std::to_string(i));
     }
     f.decide();
-    f.answer_holds();
+    f.answer_polls();
     for (int i = 0; i < 10; ++i)
     {
-        f.leader.note_late(f.now, milliseconds(300));
+        f.leader.record_lateness(f.now, milliseconds(300));
     }
     f.submit({}, "low", 2);
     bool granted = false;
@@ -94,7 +94,7 @@
         jobs::step_spec five;
         five.task_count = 5;
         f.submit(five, "high" + std::to_string(i));
-        f.leader.note_late(f.now, milliseconds(300));
+        f.leader.record_lateness(f.now, milliseconds(300));
         f.decide(milliseconds(100));
         for (const dispatch::planned_round& planned : f.rounds)
         {
@@ -106,7 +106,7 @@
                                              });
         }
         f.commit();
-        f.answer_holds();
+        f.answer_polls();
     }
     CHECK(granted);
 }
@@ -119,10 +119,10 @@
         f.announce("w" + std::to_string(i));
     }
     f.decide();
-    f.answer_holds();
+    f.answer_polls();
     for (int i = 0; i < 10; ++i)
     {
-        f.leader.note_late(f.now, milliseconds(300));
+        f.leader.record_lateness(f.now, milliseconds(300));
     }
     jobs::step_spec wide;
     wide.task_count = 80;
@@ -134,22 +134,22 @@
 
 TEST_CASE("a leader that comes later and later asks workers whose tasks end less often")
 {
-    strain of;
+    overload_controller of;
     time_point now{seconds(1000)};
     const auto gap = [&of]
     {
-        return of.ends_gap(milliseconds(80), milliseconds(500));
+        return of.poll_delay_after_ends(milliseconds(80), milliseconds(500));
     };
     CHECK(gap() == milliseconds(80));
-    of.note(now, milliseconds(30));
+    of.record(now, milliseconds(30));
     CHECK(gap() == milliseconds(80));
-    of.note(now, milliseconds(90));
+    of.record(now, milliseconds(90));
     CHECK(gap() == milliseconds(290)); // halfway to what counts as late
-    of.note(now, milliseconds(400));
+    of.record(now, milliseconds(400));
     CHECK(gap() == milliseconds(500));
     for (int i = 0; i < 30; ++i)
     {
-        of.note(now += look_interval, duration(0));
+        of.record(now += look_interval, duration(0));
     }
     CHECK(gap() == milliseconds(80));
 }
--- a/tests/src/unit-platform_translation.cpp
+++ b/tests/src/unit-platform_translation.cpp
@@ -255,7 +255,7 @@
         http::response got;
         got.body = R"({"clock-ms":482113,"born":1779733950057,"running":[["a.0.1.17",2,"saved",41,950]],
                        "finished":[[58,"a.0.1.9",1,"done",""],[59,"a.1.0.0",3,"lapsed","s"]]})";
-        const dispatch::worker_answer read = workers.read(dispatch::hold_order{to, 7, {}, 57, 0}, got);
+        const dispatch::worker_answer read = workers.read(dispatch::poll_order{to, 7, {}, 57, 0}, got);
         CHECK(read.how == dispatch::reply::done);
         CHECK(read.clock_ms == 482113);
         CHECK(read.born_ms == 1779733950057);
@@ -273,7 +273,7 @@
     {
         http::response got;
         got.body = R"({"clock-ms":1,"running":[["nonsense",2,"",41]],"finished":[]})";
-        CHECK(workers.read(dispatch::hold_order{to, 7, {}, 57, 0}, got).how == dispatch::reply::none);
+        CHECK(workers.read(dispatch::poll_order{to, 7, {}, 57, 0}, got).how == dispatch::reply::none);
     }
 }
 
--- a/tests/src/unit-silent_connections.cpp
+++ b/tests/src/unit-silent_connections.cpp
@@ -252,7 +252,7 @@
     {
         http::request out;
         out.method = "GET";
-        out.path = "/" + std::to_string(std::get<dispatch::hold_order>(what).wait_ms);
+        out.path = "/" + std::to_string(std::get<dispatch::poll_order>(what).wait_ms);
         return out;
     }
     [[nodiscard]] dispatch::worker_answer read(const dispatch::order& /*what*/,
@@ -369,7 +369,7 @@
                                      });
     const auto poll = [&](std::int64_t wait_ms)
     {
-        dispatch::hold_order sent;
+        dispatch::poll_order sent;
         sent.to = {{"w"}, relay.address()};
         sent.wait_ms = wait_ms;
         const int before = answers;
--- a/tests/src/unit-task_times.cpp
+++ b/tests/src/unit-step_duration_predictor.cpp
@@ -1,13 +1,13 @@
 /// @file
 /// @brief How long steps take, learned from those that ended, whatever the submitters' guesses are worth.
 
-#include "plumspoke/dispatch/task_times.hpp"
+#include "plumspoke/dispatch/step_duration_predictor.hpp"
 
 #include <catch2/catch.hpp>
 #include <cmath>
 #include <random>
 
-using plumspoke::dispatch::task_times;
+using plumspoke::dispatch::step_duration_predictor;
 
 namespace
 {
@@ -22,7 +22,7 @@
 {
     std::mt19937_64 random(1);
     std::normal_distribution<double> normal;
-    task_times times;
+    step_duration_predictor times;
     double error = 0;
     for (int i = 0; i < steps; ++i)
     {
@@ -38,7 +38,7 @@
 
 TEST_CASE("until a queue's steps have ended the submitter's guess counts")
 {
-    task_times times;
+    step_duration_predictor times;
     CHECK(times.predict_ms("queue", 500) == 500);
     times.observe("other", 500, 2000);
     CHECK(times.predict_ms("queue", 500) == 500);
@@ -55,7 +55,7 @@
 
 TEST_CASE("a queue whose work grows longer is followed")
 {
-    task_times times;
+    step_duration_predictor times;
     for (int i = 0; i < 1000; ++i)
     {
         times.observe("queue", 1000, 1000);
--- a/tests/src/unit-waiting_jobs.cpp
+++ b/tests/src/unit-waiting_jobs.cpp
@@ -38,7 +38,7 @@
 {
     f.announce("w1");
     f.decide();
-    f.answer_holds();
+    f.answer_polls();
 }
 
 /// @brief Hands in one job, and has its start ordered.
@@ -58,7 +58,7 @@
     {
         f.announce("w1");
         f.decide(milliseconds(50));
-        f.answer_holds(rows);
+        f.answer_polls(rows);
         f.commit();
     }
 }
@@ -94,7 +94,7 @@
         for (const time_point end = f.now + seconds(8); f.now < end;)
         {
             f.decide(milliseconds(50));
-            f.answer_holds({}, "w1");
+            f.answer_polls({}, "w1");
             f.commit();
         }
         REQUIRE(f.leader.counts().ends_lapsed == granted_at_once);
@@ -151,7 +151,7 @@
         f.decide();
         worker_answer got = done();
         got.finished.push_back({1, sent.name, jobs::run_end::lapsed, ""});
-        f.answer_hold(got);
+        f.answer_poll(got);
         f.decide();
         f.commit();
         CHECK(phase() == jobs::job_phase::running);
@@ -163,7 +163,7 @@
         f.decide();
         worker_answer got = done();
         got.finished.push_back({1, sent.name, jobs::run_end::stopped, ""});
-        f.answer_hold(got);
+        f.answer_poll(got);
         f.decide();
         f.commit();
         CHECK(phase() == jobs::job_phase::queued);
@@ -173,7 +173,7 @@
     {
         f.answer(sent, done());
         pass(f, seconds(1), {{sent.name, "", 10, 0}});
-        f.leader.said_goodbye(f.now, {"w1"});
+        f.leader.departed(f.now, {"w1"});
         f.decide(milliseconds(600));
         f.commit();
         REQUIRE(f.state.find(sent.name.task)->runs.empty());
@@ -201,7 +201,7 @@
         for (int i = 0; i < 40; ++i)
         {
             f.decide(milliseconds(50));
-            f.answer_holds({{sent.name, "", 10, 0}});
+            f.answer_polls({{sent.name, "", 10, 0}});
             for (const planned_round& one : std::exchange(f.rounds, {}))
             {
                 f.leader.round_ended(f.now, one.id, std::nullopt);
@@ -213,7 +213,7 @@
     SECTION("or learned from the worker by the next leader")
     {
         f.rounds.clear();
-        f.open_holds.clear();
+        f.open_polls.clear();
         f.leader.lead(f.now, 8, f.state);
         pass(f, seconds(1), {{sent.name, "", 10, 0}});
         CHECK(pending(f.state) == 0);
--- a/tests/src/unit-whole_places.cpp
+++ b/tests/src/unit-whole_places.cpp
@@ -38,7 +38,7 @@
 /// @brief All polls are answered: runs of this job have ended, the others go on.
 void end_job(fixture& f, const jobs::job_id& job)
 {
-    for (const hold_order& one : std::exchange(f.open_holds, {}))
+    for (const poll_order& one : std::exchange(f.open_polls, {}))
     {
         worker_answer got;
         got.how = reply::done;
@@ -70,7 +70,7 @@
     {
         f.announce(id);
         f.decide();
-        f.answer_holds();
+        f.answer_polls();
     };
     add_worker("lost");
     REQUIRE(start_lasting(f, "full one", 13'000, "three") == "lost");
@@ -109,7 +109,7 @@
         end_job(f, "short");
     }
     REQUIRE(f.state.find("short")->phase == jobs::job_phase::completed);
-    f.leader.said_goodbye(f.now, {"lost"});
+    f.leader.departed(f.now, {"lost"});
     std::string came_back_on;
     for (int i = 0; i < 60 && came_back_on.empty(); ++i)
     {
--- a/tests/src/unit-worker_caller.cpp
+++ b/tests/src/unit-worker_caller.cpp
@@ -135,7 +135,7 @@
     SECTION("after an answer")
     {
         const falling_silent worker(f.context, 1);
-        const dispatch::hold_order poll{{{"w1"}, worker.address()}, 7, {}, 0, 0};
+        const dispatch::poll_order poll{{{"w1"}, worker.address()}, 7, {}, 0, 0};
         const dispatch::stop_order stop{{{"w1"}, worker.address()}, 7, {}};
         CHECK(f.call(poll) == dispatch::reply::done);
         CHECK(f.caller.silent().polls == 0);
@@ -152,7 +152,7 @@
     SECTION("not where it never carried an answer")
     {
         const falling_silent worker(f.context, 0);
-        CHECK(f.call(dispatch::hold_order{{{"w1"}, worker.address()}, 7, {}, 0, 0}) == dispatch::reply::none);
+        CHECK(f.call(dispatch::poll_order{{{"w1"}, worker.address()}, 7, {}, 0, 0}) == dispatch::reply::none);
         CHECK(f.caller.silent().polls == 0);
     }
 
@@ -163,7 +163,7 @@
             const falling_silent gone(f.context, 0);
             address = gone.address();
         }
-        CHECK(f.call(dispatch::hold_order{{{"w1"}, address}, 7, {}, 0, 0}) == dispatch::reply::none);
+        CHECK(f.call(dispatch::poll_order{{{"w1"}, address}, 7, {}, 0, 0}) == dispatch::reply::none);
         CHECK(f.caller.silent().polls == 0);
     }
 }
--- a/tests/src/unit-worker_introduction.cpp
+++ b/tests/src/unit-worker_introduction.cpp
@@ -110,9 +110,9 @@
         http::request out;
         out.method = "POST";
         out.path = "/start";
-        if (const auto* hold = std::get_if<dispatch::hold_order>(&what))
+        if (const auto* hold = std::get_if<dispatch::poll_order>(&what))
         {
-            out.path = hold->lease_until_ms.has_value() || hold->ends_noted > 0 ? "/renew" : "/ask";
+            out.path = hold->lease_until_ms.has_value() || hold->ends_recorded > 0 ? "/renew" : "/ask";
         }
         return out;
     }
@@ -121,7 +121,7 @@
     {
         dispatch::worker_answer out;
         out.how = dispatch::reply::done;
-        if (std::holds_alternative<dispatch::hold_order>(what))
+        if (std::holds_alternative<dispatch::poll_order>(what))
         {
             out.born_ms = std::stoll(got.body);
         }
@@ -175,8 +175,8 @@
 TEST_CASE("a poll that only asks needs no question before it")
 {
     fixture f;
-    CHECK(f.call(dispatch::hold_order{f.to(100), 7, {}, 0, 0}).born_ms == 100);
-    CHECK(f.call(dispatch::hold_order{f.to(100), 7, 4000, 5, 0}).how == dispatch::reply::done);
+    CHECK(f.call(dispatch::poll_order{f.to(100), 7, {}, 0, 0}).born_ms == 100);
+    CHECK(f.call(dispatch::poll_order{f.to(100), 7, 4000, 5, 0}).how == dispatch::reply::done);
     CHECK(f.worker.asked == paths{"/ask", "/renew"});
 }
 
@@ -184,7 +184,7 @@
 {
     fixture f;
     const dispatch::start_order start{f.to(100), 7, 0, {}, {}, {}, {}};
-    const dispatch::hold_order renewal{f.to(100), 7, 4000, 5, 0};
+    const dispatch::poll_order renewal{f.to(100), 7, 4000, 5, 0};
     CHECK(f.call(start).how == dispatch::reply::done);
     CHECK(f.call(renewal).how == dispatch::reply::done);
     f.worker.start_again(90); // its clock was put back
--- a/tests/src/unit-worker_lives.cpp
+++ b/tests/src/unit-worker_lives.cpp
@@ -58,7 +58,7 @@
         {
             decide(milliseconds(50));
             clock_ms += 50;
-            for (const hold_order& one : std::exchange(open_holds, {}))
+            for (const poll_order& one : std::exchange(open_polls, {}))
             {
                 reply_to(one);
             }
@@ -99,13 +99,13 @@
             stopped.push_back(stop_of->name);
             end(stop_of->name, jobs::run_end::stopped);
         }
-        if (const auto* hold = std::get_if<hold_order>(&what))
+        if (const auto* hold = std::get_if<poll_order>(&what))
         {
             got.born_ms = alive.born_ms;
             std::erase_if(finished,
                           [hold](const finished_row& row)
                           {
-                              return row.number <= hold->ends_noted;
+                              return row.number <= hold->ends_recorded;
                           });
             got.running = running;
             got.finished = finished;
@@ -235,7 +235,7 @@
     SECTION("seen by the next leader, from the record")
     {
         f.leader.lead(f.now, 8, f.state);
-        f.open_holds.clear();
+        f.open_polls.clear();
         f.live({"w", 51'000});
         f.turn();
     }
@@ -244,7 +244,7 @@
         const std::string saved = f.state.save();
         REQUIRE(f.state.restore(saved));
         f.leader.lead(f.now, 8, f.state);
-        f.open_holds.clear();
+        f.open_polls.clear();
         f.live({"w", 51'000});
         f.turn();
     }
@@ -292,8 +292,8 @@
     {
         // The poll that names the life is answered before the one that names the id alone.
         f.decide(milliseconds(50));
-        std::reverse(f.open_holds.begin(), f.open_holds.end());
-        for (const hold_order& one : std::exchange(f.open_holds, {}))
+        std::reverse(f.open_polls.begin(), f.open_polls.end());
+        for (const poll_order& one : std::exchange(f.open_polls, {}))
         {
             f.reply_to(one);
         }
@@ -342,7 +342,7 @@
     late.born_ms = 50'000;
     late.clock_ms = 900'000;
     late.finished.push_back({40, f.running.front().name, jobs::run_end::failed, {}});
-    const hold_order open{{{"w", 50'000}, "address"}, 7, {}, 0, 0};
+    const poll_order open{{{"w", 50'000}, "address"}, 7, {}, 0, 0};
     f.live({"w", 51'000});
     f.turn(8);
     REQUIRE(f.running.size() == 1);
--- a/tests/world/busy_fleet.cpp
+++ b/tests/world/busy_fleet.cpp
@@ -414,7 +414,7 @@
     {
         end_run(on, stop->name, jobs::run_end::stopped);
     }
-    const auto* poll = std::get_if<dispatch::hold_order>(&what.what);
+    const auto* poll = std::get_if<dispatch::poll_order>(&what.what);
     if (poll == nullptr)
     {
         reply(what, {dispatch::reply::done, clock_ms(), {}, {}});
@@ -428,7 +428,7 @@
     std::erase_if(on.finished,
                   [poll](const dispatch::finished_row& row)
                   {
-                      return row.number <= poll->ends_noted;
+                      return row.number <= poll->ends_recorded;
                   });
     if (poll->wait_ms == 0 || !on.finished.empty())
     {
@@ -515,7 +515,7 @@
     }
     wanted_ = false;
     ++outcome_.decisions;
-    leader_.note_late(now_, late);
+    leader_.record_lateness(now_, late);
     before = thread_seconds();
     dispatch::dispatch_output out = leader_.decide(now_, clock_ms(), store_);
     const double decided = thread_seconds() - before;
@@ -536,11 +536,11 @@
     spend(cost_s +
           static_cast<double>(out.orders.size()) * std::chrono::duration<double>(load_.call_cost).count());
     leader_free_at_ = std::max(leader_free_at_, now_) + load_.decision_time;
-    pace_.note(now_, std::max(now_, leader_free_at_));
+    pace_.record(now_, std::max(now_, leader_free_at_));
     const time_point sent_at = std::max(now_, leader_free_at_);
     for (const dispatch::order& what : out.orders)
     {
-        outcome_.polls += std::holds_alternative<dispatch::hold_order>(what) ? 1 : 0;
+        outcome_.polls += std::holds_alternative<dispatch::poll_order>(what) ? 1 : 0;
         at(sent_at + load_.order_delay,
            [this, sent = dispatch::sent_order{what, sent_at}]
            {
--- a/tests/world/busy_fleet.hpp
+++ b/tests/world/busy_fleet.hpp
@@ -7,7 +7,7 @@
 /// Nothing goes wrong here by itself. The dispatcher and the store are the product's own, and so is the
 /// rule for how often the leader decides.
 
-#include "plumspoke/dispatch/decision_pace.hpp"
+#include "plumspoke/dispatch/decision_rate_limiter.hpp"
 #include "plumspoke/dispatch/dispatcher.hpp"
 #include "plumspoke/jobs/store.hpp"
 
@@ -215,7 +215,7 @@
     std::map<std::string, worker> workers_;
     jobs::store store_;
     dispatch::dispatcher leader_{dispatch::dispatch_options{}};
-    dispatch::decision_pace pace_;
+    dispatch::decision_rate_limiter pace_;
     std::deque<std::pair<time_point, std::function<void()>>> inbox_; // with the time of arrival
     bool wanted_ = true;                                             // a decision
     bool lead_scheduled_ = false;
--- a/tests/world/task_world.cpp
+++ b/tests/world/task_world.cpp
@@ -401,7 +401,7 @@
         return {dispatch::reply::done, clock_of(on), {}, {}};
     }
     dispatch::worker_answer out{dispatch::reply::done, clock_of(on), {}, {}};
-    if (const auto* order = std::get_if<dispatch::hold_order>(&what))
+    if (const auto* order = std::get_if<dispatch::poll_order>(&what))
     {
         if (order->lease_until_ms.has_value())
         {
@@ -411,7 +411,7 @@
         std::erase_if(on.finished,
                       [this, order, &on](const dispatch::finished_row& row)
                       {
-                          const bool noted = row.number <= order->ends_noted;
+                          const bool noted = row.number <= order->ends_recorded;
                           // An end counts as noted unless the lease lapsed between the two.
                           const bool in_time = on.lapsed_at < on.ended_at.at(row.number);
                           if (noted && in_time && row.how == jobs::run_end::done)
@@ -469,7 +469,7 @@
     const std::string& id = to.worker.id;
     const auto found = workers_.find(id);
     const bool reached = found != workers_.end() && found->second.alive && !found->second.cut;
-    const auto* hold = std::get_if<dispatch::hold_order>(&what);
+    const auto* hold = std::get_if<dispatch::poll_order>(&what);
     // What is on its way to a life, or left by it for later, ends with that life.
     const bool meets =
         reached && found->second.lives == to_life && (late || is_connected(id, to_life, hold != nullptr));
@@ -532,7 +532,7 @@
 }
 
 void task_world::answer_later(worker& on,
-                              const dispatch::hold_order& what,
+                              const dispatch::poll_order& what,
                               std::uint64_t epoch,
                               time_point sent_at)
 {
@@ -654,7 +654,7 @@
     ++term_;
     leading_ = false;
     connected_to_.clear();
-    leader_.retire();
+    leader_.step_down();
     ++outcome_.leaders;
     after(milliseconds(between(700, 1500)),
           [this, term = term_]
--- a/tests/world/task_world.hpp
+++ b/tests/world/task_world.hpp
@@ -161,7 +161,7 @@
     /// @brief Whether the connection to a worker still ends at the life that lives now; else it is made anew.
     [[nodiscard]] bool is_connected(const std::string& id, std::uint64_t life, bool poll);
     void answer_unreached(const dispatch::order& what, std::uint64_t epoch, time_point sent_at);
-    void answer_later(worker& on, const dispatch::hold_order& what, std::uint64_t epoch, time_point sent_at);
+    void answer_later(worker& on, const dispatch::poll_order& what, std::uint64_t epoch, time_point sent_at);
     dispatch::worker_answer list_runs(const std::string& id, dispatch::worker_answer answer);
     void reply(const dispatch::order& what,
                std::uint64_t epoch,
