--- a/include/plumspoke/dispatch/dispatcher.hpp
+++ b/include/plumspoke/dispatch/dispatcher.hpp
@@ -153,20 +153,20 @@
     void rollback_ends(time_point now, const round_proposal& round);
     void rollback_begun(time_point now, const round_proposal& round);
     void forget_recorded_ends(time_point now, const round_proposal& round);
-    [[nodiscard]] duration next_poll_delay(time_point now, const worker_view& of) const;
+    [[nodiscard]] duration next_poll_delay(time_point now, const worker_view& worker) const;
     void take_over(time_point now, const jobs::job& from);
     void take_over(time_point now,
                    const jobs::job& from,
                    const jobs::task_name& name,
                    std::span<const jobs::run> recorded);
     void order_due_polls(time_point now, dispatch_output& out);
-    [[nodiscard]] bool update_worker(time_point now, worker_view& of);
+    [[nodiscard]] bool update_worker(time_point now, worker_view& worker);
     void order_for_actionable_runs(time_point now, const jobs::store& state, dispatch_output& out);
-    void order_for_run(time_point now, run_view& of, const jobs::store& state, dispatch_output& out);
-    void order_poll(time_point now, worker_view& of, dispatch_output& out);
-    [[nodiscard]] static bool is_worker_leaving(const run_view& of) noexcept;
-    void order_start(time_point now, run_view& of, const jobs::store& state, dispatch_output& out);
-    void order_stop(time_point now, run_view& of, dispatch_output& out);
+    void order_for_run(time_point now, run_view& run, const jobs::store& state, dispatch_output& out);
+    void order_poll(time_point now, worker_view& worker, dispatch_output& out);
+    [[nodiscard]] static bool is_worker_leaving(const run_view& run) noexcept;
+    void order_start(time_point now, run_view& run, const jobs::store& state, dispatch_output& out);
+    void order_stop(time_point now, run_view& run, dispatch_output& out);
     void stop_runs_of_ended_jobs(const jobs::store& state);
     void measure_cancel_latency(std::int64_t day_ms, const jobs::store& state, dispatch_output& out);
     void propose(std::int64_t day_ms, const jobs::store& state, time_point now, dispatch_output& out);
@@ -178,29 +178,29 @@
     void record_learned_effects(time_point now, jobs::round& into);
     void record_begun(time_point now, const jobs::store& state, jobs::round& into);
     void find_due_occurrences(std::int64_t day_ms, const jobs::store& state, jobs::round& into);
-    [[nodiscard]] std::int64_t lease_for(time_point now, worker_view& of) const;
-    [[nodiscard]] recipient recipient_of(const worker_view& of) const;
-    [[nodiscard]] time_point lease_lapse_time(const worker_view& of) const;
+    [[nodiscard]] std::int64_t lease_for(time_point now, worker_view& worker) const;
+    [[nodiscard]] recipient recipient_of(const worker_view& worker) const;
+    [[nodiscard]] time_point lease_lapse_time(const worker_view& worker) const;
     void remove_silent_workers(time_point now);
-    void remove_life_from_address(const worker_view& of);
+    void remove_life_from_address(const worker_view& worker);
     void poll_other_lives(time_point now, const fleet::announcement& heard);
 
     // ---- bookkeeping (bookkeeping.cpp)
     [[nodiscard]] run_view* find_run(const jobs::run_name& name) noexcept;
-    [[nodiscard]] run_view* find_run_on(worker_view& of, const jobs::run_name& name) noexcept;
+    [[nodiscard]] run_view* find_run_on(worker_view& worker, const jobs::run_name& name) noexcept;
     [[nodiscard]] worker_view* find_worker(const fleet::worker_life& life) noexcept;
     [[nodiscard]] worker_view& find_or_add_worker(const fleet::worker_life& life);
     [[nodiscard]] worker_view& find_or_register_worker(const fleet::worker_life& life,
                                                        const std::string& address);
-    [[nodiscard]] std::vector<worker_view*> other_lives(const fleet::worker_life& of);
+    [[nodiscard]] std::vector<worker_view*> other_lives(const fleet::worker_life& life);
     void move_to_life(const jobs::run_name& name, const fleet::worker_life& next);
     [[nodiscard]] std::span<worker_view* const> all_workers();
     void add_run(run_view added);
     void remove_run(const jobs::run_name& name);
-    void mark_changed(worker_view& of) noexcept;
+    void mark_changed(worker_view& worker) noexcept;
     [[nodiscard]] boost::intrusive_ptr<step_stats> step_stats_of(const jobs::task_name& name);
-    [[nodiscard]] static bool may_need_order(const run_view& of) noexcept;
-    void track_if_actionable(run_view& of);
+    [[nodiscard]] static bool may_need_order(const run_view& run) noexcept;
+    void track_if_actionable(run_view& run);
 
     // ---- answers (answers.cpp)
     void on(time_point now, const poll_order& sent, time_point sent_at, const worker_answer& got);
@@ -208,74 +208,77 @@
     void on(time_point now, const stop_order& sent, time_point sent_at, const worker_answer& got);
     void on(time_point now, const pace_order& sent, time_point sent_at, const worker_answer& got);
     void note_begun(time_point now, const jobs::run_name& name);
-    void handle_accepted_start(time_point now, worker_view& on, run_view& of);
-    void handle_unanswered_start(time_point now, run_view& of);
-    void handle_expired_start(time_point now, run_view& of);
-    void handle_rejected_start(time_point now, worker_view& on, run_view& of, reply how);
-    void fence_run(time_point now, run_view& of, jobs::run_end end_if_absent);
+    void handle_accepted_start(time_point now, worker_view& on, run_view& run);
+    void handle_unanswered_start(time_point now, run_view& run);
+    void handle_expired_start(time_point now, run_view& run);
+    void handle_rejected_start(time_point now, worker_view& on, run_view& run, reply how);
+    void fence_run(time_point now, run_view& run, jobs::run_end end_if_absent);
     worker_view* record_contact(time_point now, const recipient& to, const worker_answer& got);
     void handle_other_life(time_point now, const recipient& asked, const worker_answer& got);
     void resolve_unnamed_life(const recipient& asked, const fleet::worker_life& told);
-    void end_earlier_lives(time_point now, const worker_view& of, time_point sent_at);
-    void apply_running(time_point now, time_point sent_at, worker_view& of, const worker_answer& got);
-    void
-    apply_finished(time_point now, worker_view& of, const contact_snapshot& before, const worker_answer& got);
+    void end_earlier_lives(time_point now, const worker_view& worker, time_point sent_at);
+    void apply_running(time_point now, time_point sent_at, worker_view& worker, const worker_answer& got);
+    void apply_finished(time_point now,
+                        worker_view& worker,
+                        const contact_snapshot& before,
+                        const worker_answer& got);
     void record_finished_start(time_point now, const finished_row& row, const run_view* run);
-    void detect_missing_runs(time_point now, worker_view& of, time_point sent_at, const worker_answer& got);
+    void
+    detect_missing_runs(time_point now, worker_view& worker, time_point sent_at, const worker_answer& got);
     void end_run(time_point now,
-                 run_view& of,
+                 run_view& run,
                  jobs::run_end how,
                  const std::string& saved,
                  jobs::crash_sign sign = jobs::crash_sign::none);
-    [[nodiscard]] bool was_stable(const run_view& of) const;
+    [[nodiscard]] bool was_stable(const run_view& run) const;
     void update_backoff(time_point now, const run_view& ended, jobs::run_end how);
-    void record_end(run_view& of, jobs::run_end how, const std::string& saved, jobs::crash_sign sign);
+    void record_end(run_view& run, jobs::run_end how, const std::string& saved, jobs::crash_sign sign);
 
     // ---- crashes (crashes.cpp)
     /// @param next the life that has answered in its place, where it told itself
     void end_life(time_point now,
-                  worker_view& of,
+                  worker_view& worker,
                   life_end_cause how,
                   const std::optional<fleet::worker_life>& next = std::nullopt);
     using run_names = std::vector<jobs::run_name>;
     void end_or_fence(
-        time_point now, run_view& of, jobs::run_end how, jobs::crash_sign sign, run_names* moved_to_next);
+        time_point now, run_view& run, jobs::run_end how, jobs::crash_sign sign, run_names* moved_to_next);
     [[nodiscard]] bool is_widespread(time_point now);
     [[nodiscard]] jobs::crash_sign
-    crash_sign_of_lapse(time_point now, const run_view& of, bool widespread) const;
+    crash_sign_of_lapse(time_point now, const run_view& run, bool widespread) const;
     /// @param moved_to_next takes runs that the next life has to shut out; null: there is none
-    void end_crashed_runs(time_point now, worker_view& of, run_names* moved_to_next);
-    void end_lost_runs(time_point now, worker_view& of, run_names* moved_to_next);
-    void mark_life_ended(worker_view& of);
-    [[nodiscard]] static bool is_announcement_overdue(time_point now, const worker_view& of);
+    void end_crashed_runs(time_point now, worker_view& worker, run_names* moved_to_next);
+    void end_lost_runs(time_point now, worker_view& worker, run_names* moved_to_next);
+    void mark_life_ended(worker_view& worker);
+    [[nodiscard]] static bool is_announcement_overdue(time_point now, const worker_view& worker);
     [[nodiscard]] bool
     waits_for_isolation(time_point now, const jobs::task_name& suspect, const worker_view& best);
-    [[nodiscard]] double crash_risk_cost(time_point now, const worker_view& of) const;
+    [[nodiscard]] double crash_risk_cost(time_point now, const worker_view& worker) const;
 
     // ---- lapses (lapses.cpp)
-    void end_lapsed_runs(time_point now, worker_view& of);
+    void end_lapsed_runs(time_point now, worker_view& worker);
     void end_lapsed_run(time_point now,
                         lapse_detector found_by,
                         const contact_snapshot& contact,
-                        run_view& of,
+                        run_view& run,
                         const std::string& saved,
                         jobs::crash_sign sign);
     [[nodiscard]] lapse_cause cause_of_lapse(lapse_detector found_by, const contact_snapshot& contact) const;
-    void update_failure_score(time_point now, worker_view& of, const run_view& ended, jobs::run_end how);
+    void update_failure_score(time_point now, worker_view& worker, const run_view& ended, jobs::run_end how);
     void penalize_worker(
-        time_point now, worker_view& of, const jobs::job_id& job, double weight, std::string_view why);
+        time_point now, worker_view& worker, const jobs::job_id& job, double weight, std::string_view why);
 
     // ---- ready steps (ready_steps.cpp)
     struct ready_step; // in ready_step.hpp
     [[nodiscard]] std::vector<ready_step> find_ready_steps(std::int64_t day_ms, const jobs::store& state);
-    [[nodiscard]] bool has_waiting(const jobs::step& of, const jobs::step_spec& spec) const;
-    void rank(ready_step& of, std::int64_t day_ms) const;
-    [[nodiscard]] bool is_urgent(const ready_step& of, std::int64_t day_ms) const;
-    [[nodiscard]] static bool has_lost_run(const ready_step& of);
-    [[nodiscard]] bool has_runs(const jobs::job& of) const;
+    [[nodiscard]] bool has_waiting(const jobs::step& step, const jobs::step_spec& spec) const;
+    void rank(ready_step& ready, std::int64_t day_ms) const;
+    [[nodiscard]] bool is_urgent(const ready_step& ready, std::int64_t day_ms) const;
+    [[nodiscard]] static bool has_lost_run(const ready_step& ready);
+    [[nodiscard]] bool has_runs(const jobs::job& job) const;
     struct chain_durations;
-    [[nodiscard]] chain_durations predict_chain(const ready_step& of) const;
-    [[nodiscard]] double predict_step_ms(const jobs::job& of, std::uint32_t step) const;
+    [[nodiscard]] chain_durations predict_chain(const ready_step& ready) const;
+    [[nodiscard]] double predict_step_ms(const jobs::job& job, std::uint32_t step) const;
 
     // ---- placement (placement.cpp)
     /// @brief Names a step of one occurrence; first starts and later ones find room apart.
@@ -451,15 +454,15 @@
     void watch_runs(time_point now, const jobs::store& state);
     void watch_workers(time_point now, const jobs::store& state);
     [[nodiscard]] duration sweep_interval() const noexcept;
-    void watch_run(time_point now, run_view& of);
-    void retry_unconfirmed_stop(time_point now, run_view& of);
-    static void stop_redundant_copy(run_view& of, const jobs::store& state);
-    void move_run(time_point now, run_view& of, std::string_view why);
+    void watch_run(time_point now, run_view& run);
+    void retry_unconfirmed_stop(time_point now, run_view& run);
+    static void stop_redundant_copy(run_view& run, const jobs::store& state);
+    void move_run(time_point now, run_view& run, std::string_view why);
     [[nodiscard]] int slow_moves_of(const jobs::task_name& task) const;
-    void move_stalled_run(time_point now, run_view& of);
-    void move_straggling_run(time_point now, run_view& of);
+    void move_stalled_run(time_point now, run_view& run);
+    void move_straggling_run(time_point now, run_view& run);
     void forget_ended_jobs(const jobs::store& state);
-    void watch_draining(time_point now, worker_view& of, const jobs::store& state);
+    void watch_draining(time_point now, worker_view& worker, const jobs::store& state);
     void summarize(time_point now, const jobs::store& state);
 
     // ---- what holds tasks back (held_watch.cpp)
@@ -489,7 +492,7 @@
     void learn_interference(const worker_view& of);
     void set_paces(time_point now, worker_view& of, const run_view& serving);
     void release_paces(time_point now, worker_view& of, double slack);
-    void order_pace(time_point now, run_view& run, dispatch_output& out);
+    void order_pace(time_point now, run_view& of, dispatch_output& out);
     void stop_unknown_runs(dispatch_output& out);
 
     dispatch_options options_;
--- a/include/plumspoke/dispatch/worker_view.hpp
+++ b/include/plumspoke/dispatch/worker_view.hpp
@@ -186,21 +186,21 @@
 };
 
 /// @brief Whether a worker has crashed under an earlier run of its task.
-[[nodiscard]] constexpr bool is_suspect(const jobs::crash_evidence& of) noexcept
+[[nodiscard]] constexpr bool is_suspect(const jobs::crash_evidence& evidence) noexcept
 {
-    return of.crashes > 0;
+    return evidence.crashes > 0;
 }
 
 /// @brief Whether one more crash that nothing else explains would be enough to give the task up.
-[[nodiscard]] constexpr bool is_critical_suspect(const jobs::crash_evidence& of) noexcept
+[[nodiscard]] constexpr bool is_critical_suspect(const jobs::crash_evidence& evidence) noexcept
 {
-    return of.blamed + 1 >= jobs::crash_evidence::most_blamed;
+    return evidence.blamed + 1 >= jobs::crash_evidence::most_blamed;
 }
 
 /// @brief Whether its worker has told this leader that the run has begun.
-[[nodiscard]] inline bool was_confirmed(const run_view& of) noexcept
+[[nodiscard]] inline bool was_confirmed(const run_view& run) noexcept
 {
-    return of.confirmed_at != time_point{};
+    return run.confirmed_at != time_point{};
 }
 
 /// @brief How the contact with a worker stands, for log lines.
@@ -217,6 +217,6 @@
     bool poll_in_flight = false;
 };
 
-[[nodiscard]] contact_snapshot make_contact_snapshot(const worker_view& of);
+[[nodiscard]] contact_snapshot make_contact_snapshot(const worker_view& worker);
 
 } // namespace plumspoke::dispatch
--- a/src/dispatch/answers.cpp
+++ b/src/dispatch/answers.cpp
@@ -55,8 +55,8 @@
 
 worker_view* dispatcher::record_contact(time_point now, const recipient& to, const worker_answer& got)
 {
-    worker_view* of = find_worker(to.worker);
-    if (of == nullptr)
+    worker_view* worker = find_worker(to.worker);
+    if (worker == nullptr)
     {
         return nullptr;
     }
@@ -64,21 +64,21 @@
     {
         const bool told = got.born_ms.has_value();
         end_life(now,
-                 *of,
+                 *worker,
                  life_end_cause::crash,
                  told ? std::optional(fleet::worker_life{to.worker.id, *got.born_ms}) : std::nullopt);
         return nullptr;
     }
     if (got.how == reply::none)
     {
-        return of;
+        return worker;
     }
     if (got.clock_ms.has_value())
     {
-        of->clock.observe(*got.clock_ms, now);
+        worker->clock.observe(*got.clock_ms, now);
     }
-    of->answered_at = now;
-    return of;
+    worker->answered_at = now;
+    return worker;
 }
 
 void dispatcher::handle_other_life(time_point now, const recipient& asked, const worker_answer& got)
@@ -104,8 +104,8 @@
     {
         return;
     }
-    worker_view& of = find_or_register_worker(told, asked.address);
-    of.has_inherited_runs = of.has_inherited_runs || unnamed->has_inherited_runs;
+    worker_view& worker = find_or_register_worker(told, asked.address);
+    worker.has_inherited_runs = worker.has_inherited_runs || unnamed->has_inherited_runs;
     run_names all;
     for (const run_view& run : unnamed->runs)
     {
@@ -121,18 +121,18 @@
     room_changed_ = true;
 }
 
-void dispatcher::end_earlier_lives(time_point now, const worker_view& of, time_point sent_at)
+void dispatcher::end_earlier_lives(time_point now, const worker_view& worker, time_point sent_at)
 {
-    for (worker_view* other : other_lives(of.info.life))
+    for (worker_view* other : other_lives(worker.info.life))
     {
         const time_point last_heard = std::max(other->announced_at, other->answered_at);
         if (other->info.life.born_ms == 0)
         {
-            resolve_unnamed_life(recipient_of(*other), of.info.life); // it may well be the same life
+            resolve_unnamed_life(recipient_of(*other), worker.info.life); // it may well be the same life
         }
         else if (!other->life_ended && last_heard <= sent_at)
         {
-            end_life(now, *other, life_end_cause::crash, of.info.life);
+            end_life(now, *other, life_end_cause::crash, worker.info.life);
         }
     }
 }
@@ -149,62 +149,66 @@
     }
     const worker_view* asked = find_worker(sent.to.worker);
     const contact_snapshot before = asked == nullptr ? contact_snapshot() : make_contact_snapshot(*asked);
-    worker_view* of = record_contact(now, sent.to, got);
-    if (of == nullptr || (of->life_ended && of->info.life.born_ms != 0))
+    worker_view* worker = record_contact(now, sent.to, got);
+    if (worker == nullptr || (worker->life_ended && worker->info.life.born_ms != 0))
     {
         return; // an answer that was on its way as the next life answered
     }
-    of->poll_in_flight = false;
+    worker->poll_in_flight = false;
     if (got.how != reply::done)
     {
         ++counts_.polls_unanswered;
-        of->next_poll_at = now + initial_pause * (1 << std::min(of->unanswered_calls, max_pause_doublings));
-        ++of->unanswered_calls;
-        if (of->unanswered_calls == options_.max_unanswered_calls + 1)
+        worker->next_poll_at =
+            now + initial_pause * (1 << std::min(worker->unanswered_calls, max_pause_doublings));
+        ++worker->unanswered_calls;
+        if (worker->unanswered_calls == options_.max_unanswered_calls + 1)
         {
             room_changed_ = true;
-            mark_changed(*of);
+            mark_changed(*worker);
             events_.push_back(logging::event("dispatch", "worker_silent", "A worker doesn't answer.")
-                                  .with("worker", of->info.life.id)
-                                  .with("born_ms", of->info.life.born_ms)
+                                  .with("worker", worker->info.life.id)
+                                  .with("born_ms", worker->info.life.born_ms)
                                   .with("answer", to_string(got.how))
-                                  .with("runs", static_cast<std::int64_t>(of->runs.size())));
+                                  .with("runs", static_cast<std::int64_t>(worker->runs.size())));
         }
         return;
     }
-    if (of->unanswered_calls > 0 || !of->contacted)
+    if (worker->unanswered_calls > 0 || !worker->contacted)
     {
         room_changed_ = true;
     }
-    if (!of->contacted)
-    {
-        end_earlier_lives(now, *of, sent_at);
-    }
-    of->unanswered_calls = 0;
-    of->contacted = true;
-    of->ends_acknowledged = std::max(of->ends_acknowledged, sent.ends_recorded);
-    of->next_poll_at = now;
-    mark_changed(*of); // its tasks' slack
-    of->max_lease_gap = {};
-    apply_finished(now, *of, before, got);
-    apply_running(now, sent_at, *of, got);
-    detect_missing_runs(now, *of, sent_at, got);
-    watch_pace(now, *of);
-    mark_changed(*of); // its fillers' paces
+    if (!worker->contacted)
+    {
+        end_earlier_lives(now, *worker, sent_at);
+    }
+    worker->unanswered_calls = 0;
+    worker->contacted = true;
+    worker->ends_acknowledged = std::max(worker->ends_acknowledged, sent.ends_recorded);
+    worker->next_poll_at = now;
+    mark_changed(*worker); // its tasks' slack
+    worker->max_lease_gap = {};
+    apply_finished(now, *worker, before, got);
+    apply_running(now, sent_at, *worker, got);
+    detect_missing_runs(now, *worker, sent_at, got);
+    watch_pace(now, *worker);
+    mark_changed(*worker); // its fillers' paces
 }
 
-void dispatcher::apply_running(time_point now, time_point sent_at, worker_view& of, const worker_answer& got)
+void dispatcher::apply_running(time_point now,
+                               time_point sent_at,
+                               worker_view& worker,
+                               const worker_answer& got)
 {
     for (const running_row& row : got.running)
     {
-        run_view* run = find_run_on(of, row.name);
+        run_view* run = find_run_on(worker, row.name);
         if (run == nullptr || run->stage != run_stage::running)
         {
             note_begun(now, row.name);
         }
-        if (run == nullptr || run->worker != of.info.life)
+        if (run == nullptr || run->worker != worker.info.life)
         {
-            unknown_runs_.emplace_back(of.info.life, row.name);
+            unknown_runs_.emplace_back(worker.info.life, row.name);
             continue;
         }
         if (run->stage == run_stage::ordered || run->stage == run_stage::inherited)
@@ -239,25 +243,25 @@
 }
 
 void dispatcher::apply_finished(time_point now,
-                                worker_view& of,
+                                worker_view& worker,
                                 const contact_snapshot& before,
                                 const worker_answer& got)
 {
     for (const finished_row& row : got.finished)
     {
         // By its run, not by its number: passed over as read, an end would hold its task back for ever.
-        run_view* run = find_run_on(of, row.name);
-        if (row.number > of.ends_proposed)
+        run_view* run = find_run_on(worker, row.name);
+        if (row.number > worker.ends_proposed)
         {
-            of.ends_proposed = row.number;
-            of.next_poll_at = now + commit_timeout;
+            worker.ends_proposed = row.number;
+            worker.next_poll_at = now + commit_timeout;
             record_finished_start(now, row, run);
         }
-        if (run == nullptr || run->worker != of.info.life || run->stage == run_stage::ending)
+        if (run == nullptr || run->worker != worker.info.life || run->stage == run_stage::ending)
         {
             continue; // recorded already, or written off after its lease had lapsed
         }
-        update_failure_score(now, of, *run, row.how);
+        update_failure_score(now, worker, *run, row.how);
         if (row.how == jobs::run_end::lapsed)
         {
             end_lapsed_run(now, lapse_detector::worker, before, *run, row.saved, jobs::crash_sign::none);
@@ -286,11 +290,11 @@
 }
 
 void dispatcher::detect_missing_runs(time_point now,
-                                     worker_view& of,
+                                     worker_view& worker,
                                      time_point sent_at,
                                      const worker_answer& got)
 {
-    for (run_view& run : of.runs)
+    for (run_view& run : worker.runs)
     {
         if (run.stage == run_stage::proposed || run.stage == run_stage::ending || lists_run(got, run.name))
         {
@@ -322,9 +326,9 @@
     {
         note_begun(now, sent.name);
     }
-    worker_view* of = record_contact(now, sent.to, got);
+    worker_view* worker = record_contact(now, sent.to, got);
     run_view* run = find_run(sent.name);
-    if (of == nullptr || run == nullptr || run->worker != sent.to.worker)
+    if (worker == nullptr || run == nullptr || run->worker != sent.to.worker)
     {
         return;
     }
@@ -336,7 +340,7 @@
     switch (got.how)
     {
     case reply::done:
-        handle_accepted_start(now, *of, *run);
+        handle_accepted_start(now, *worker, *run);
         return;
     case reply::none:
         handle_unanswered_start(now, *run);
@@ -349,12 +353,12 @@
         return;
     case reply::no_room:
         ++counts_.starts_rejected_no_room;
-        of->no_room_until = now + no_room_pause;
+        worker->no_room_until = now + no_room_pause;
         break;
     case reply::unhealthy:
         ++counts_.starts_rejected_other;
-        of->no_room_until = now + unhealthy_pause;
-        penalize_worker(now, *of, run->name.task.job, 1, "rejects starts as unhealthy");
+        worker->no_room_until = now + unhealthy_pause;
+        penalize_worker(now, *worker, run->name.task.job, 1, "rejects starts as unhealthy");
         break;
     case reply::superseded:
     case reply::no_ticket:
@@ -363,81 +367,81 @@
         ++counts_.starts_rejected_other;
         break;
     }
-    handle_rejected_start(now, *of, *run, got.how);
+    handle_rejected_start(now, *worker, *run, got.how);
 }
 
-void dispatcher::handle_accepted_start(time_point now, worker_view& on, run_view& of)
+void dispatcher::handle_accepted_start(time_point now, worker_view& on, run_view& run)
 {
-    of.start_unanswered = false;
-    if (of.stage == run_stage::ordered)
-    {
-        of.stage = run_stage::running;
-        of.started_at = now;
-        of.progress_at = now;
-        track_if_actionable(of);
-        stage_delays_.record(kind_of(of.lasting, of.filler),
+    run.start_unanswered = false;
+    if (run.stage == run_stage::ordered)
+    {
+        run.stage = run_stage::running;
+        run.started_at = now;
+        run.progress_at = now;
+        track_if_actionable(run);
+        stage_delays_.record(kind_of(run.lasting, run.filler),
                              task_stage::start_order,
-                             std::chrono::duration_cast<duration>(now - of.recorded_at));
+                             std::chrono::duration_cast<duration>(now - run.recorded_at));
     }
-    of.confirmed_at = now;
+    run.confirmed_at = now;
     if (on.ends_proposed == on.ends_recorded)
     {
         on.next_poll_at = std::min(on.next_poll_at, now);
     }
 }
 
-void dispatcher::handle_unanswered_start(time_point now, run_view& of)
+void dispatcher::handle_unanswered_start(time_point now, run_view& run)
 {
     ++counts_.starts_unanswered;
-    of.start_unanswered = true;
-    of.next_start_at = now + options_.order_retry;
-    if (of.starts_sent >= options_.max_starts && of.stage == run_stage::ordered)
+    run.start_unanswered = true;
+    run.next_start_at = now + options_.order_retry;
+    if (run.starts_sent >= options_.max_starts && run.stage == run_stage::ordered)
     {
-        fence_run(now, of, jobs::run_end::not_begun); // the task goes elsewhere once that is done
+        fence_run(now, run, jobs::run_end::not_begun); // the task goes elsewhere once that is done
     }
 }
 
 // What is known of the worker's clock may stay wrong: then each lease is over before it arrives.
-void dispatcher::handle_expired_start(time_point now, run_view& of)
+void dispatcher::handle_expired_start(time_point now, run_view& run)
 {
-    of.next_start_at = now + options_.order_retry;
-    if (of.starts_sent >= options_.max_expired_starts)
+    run.next_start_at = now + options_.order_retry;
+    if (run.starts_sent >= options_.max_expired_starts)
     {
-        fence_run(now, of, jobs::run_end::not_begun);
+        fence_run(now, run, jobs::run_end::not_begun);
     }
 }
 
-void dispatcher::handle_rejected_start(time_point now, worker_view& on, run_view& of, reply how)
+void dispatcher::handle_rejected_start(time_point now, worker_view& on, run_view& run, reply how)
 {
     events_.push_back(logging::event("dispatch", "start_rejected", "A worker has rejected a start.")
-                          .with("job", of.name.task.job)
-                          .with("step", of.name.task.step)
-                          .with("index", of.name.task.index)
-                          .with("attempt", of.name.attempt)
+                          .with("job", run.name.task.job)
+                          .with("step", run.name.task.step)
+                          .with("index", run.name.task.index)
+                          .with("attempt", run.name.attempt)
                           .with("worker", on.info.life.id)
                           .with("born_ms", on.info.life.born_ms)
                           .with("reason", to_string(how)));
-    if (of.start_unanswered || how == reply::superseded)
+    if (run.start_unanswered || how == reply::superseded)
     {
-        fence_run(now, of, jobs::run_end::not_begun);
+        fence_run(now, run, jobs::run_end::not_begun);
         return;
     }
-    end_run(now, of, jobs::run_end::not_begun, {});
+    end_run(now, run, jobs::run_end::not_begun, {});
 }
 
-void dispatcher::fence_run(time_point now, run_view& of, jobs::run_end end_if_absent)
+void dispatcher::fence_run(time_point now, run_view& run, jobs::run_end end_if_absent)
 {
-    of.stop_wanted = true;
-    of.end_if_absent = end_if_absent;
-    of.next_stop_at = now;
-    track_if_actionable(of);
+    run.stop_wanted = true;
+    run.end_if_absent = end_if_absent;
+    run.next_stop_at = now;
+    track_if_actionable(run);
 }
 
 void dispatcher::on(time_point now, const stop_order& sent, time_point /*sent_at*/, const worker_answer& got)
 {
-    worker_view* of = record_contact(now, sent.to, got);
+    worker_view* worker = record_contact(now, sent.to, got);
     run_view* run = find_run(sent.name);
-    if (of == nullptr || run == nullptr)
+    if (worker == nullptr || run == nullptr)
     {
         return;
     }
@@ -445,9 +449,9 @@
     if (got.how == reply::done)
     {
         run->stop_acknowledged_at = run->stop_acknowledged_at.value_or(now);
-        if (of->ends_proposed == of->ends_recorded)
+        if (worker->ends_proposed == worker->ends_recorded)
         {
-            of->next_poll_at = now;
+            worker->next_poll_at = now;
         }
     }
 }
@@ -474,30 +478,30 @@
 // ---- ends --------------------------------------------------------------------------------------
 
 void dispatcher::end_run(
-    time_point now, run_view& of, jobs::run_end how, const std::string& saved, jobs::crash_sign sign)
+    time_point now, run_view& run, jobs::run_end how, const std::string& saved, jobs::crash_sign sign)
 {
-    if (of.stage == run_stage::ending)
+    if (run.stage == run_stage::ending)
     {
         return;
     }
-    of.end_read_at = now;
-    if (how == jobs::run_end::done && was_confirmed(of))
+    run.end_read_at = now;
+    if (how == jobs::run_end::done && was_confirmed(run))
     {
-        stage_delays_.record(kind_of(of.lasting, of.filler),
+        stage_delays_.record(kind_of(run.lasting, run.filler),
                              task_stage::run,
-                             std::chrono::duration_cast<duration>(now - of.started_at));
+                             std::chrono::duration_cast<duration>(now - run.started_at));
     }
-    record_end(of, how, saved, sign == jobs::crash_sign::none ? of.pending_crash_sign : sign);
-    update_backoff(now, of, how);
+    record_end(run, how, saved, sign == jobs::crash_sign::none ? run.pending_crash_sign : sign);
+    update_backoff(now, run, how);
     if (how != jobs::run_end::done && how != jobs::run_end::stopped)
     {
-        events_.push_back(run_lost_event(now, of, how));
+        events_.push_back(run_lost_event(now, run, how));
     }
 }
 
-bool dispatcher::was_stable(const run_view& of) const
+bool dispatcher::was_stable(const run_view& run) const
 {
-    return was_confirmed(of) && of.confirmed_at >= of.started_at + options_.min_stable_run;
+    return was_confirmed(run) && run.confirmed_at >= run.started_at + options_.min_stable_run;
 }
 
 // The first setback is answered at once: mostly it was the worker's.
@@ -515,10 +519,10 @@
     }
 }
 
-void dispatcher::record_end(run_view& of, jobs::run_end how, const std::string& saved, jobs::crash_sign sign)
+void dispatcher::record_end(run_view& run, jobs::run_end how, const std::string& saved, jobs::crash_sign sign)
 {
-    of.stage = run_stage::ending;
-    window_.of(kind_of(of.lasting, of.filler)).note_end(how);
+    run.stage = run_stage::ending;
+    window_.of(kind_of(run.lasting, run.filler)).note_end(how);
     switch (how)
     {
     case jobs::run_end::done:
@@ -545,27 +549,28 @@
         ++counts_.ends_stopped;
         break;
     }
-    const bool ran_long = was_confirmed(of) && of.confirmed_at >= of.started_at + options_.crash_clearing_run;
+    const bool ran_long =
+        was_confirmed(run) && run.confirmed_at >= run.started_at + options_.crash_clearing_run;
     const jobs::crash_sign told = ran_long ? jobs::crash_sign::cleared : sign;
-    pending_ends_.push_back({of.name, how, saved, told});
-    jobs::crash_evidence evidence = of.evidence;
+    pending_ends_.push_back({run.name, how, saved, told});
+    jobs::crash_evidence evidence = run.evidence;
     evidence.note(told);
     if (evidence.suffices())
     {
         ++counts_.tasks_given_up;
-        events_.push_back(task_given_up_event(of, evidence));
+        events_.push_back(task_given_up_event(run, evidence));
     }
 }
 
 void dispatcher::update_failure_score(time_point now,
-                                      worker_view& of,
+                                      worker_view& worker,
                                       const run_view& ended,
                                       jobs::run_end how)
 {
     if (how == jobs::run_end::done)
     {
-        ++of.tasks_done;
-        of.failure_score *= success_decay;
+        ++worker.tasks_done;
+        worker.failure_score *= success_decay;
         const double took = std::chrono::duration<double, std::milli>(now - ended.started_at).count();
         step_stats& siblings = *ended.siblings;
         ++siblings.done;
@@ -583,29 +588,30 @@
     }
     std::set<fleet::worker_life>& failed = failed_on_[ended.name.task];
     penalize_worker(
-        now, of, ended.name.task.job, failed.empty() ? 1 : repeated_failure_weight, "its tasks fail");
-    failed.insert(of.info.life);
+        now, worker, ended.name.task.job, failed.empty() ? 1 : repeated_failure_weight, "its tasks fail");
+    failed.insert(worker.info.life);
 }
 
 void dispatcher::penalize_worker(
-    time_point now, worker_view& of, const jobs::job_id& job, double weight, std::string_view why)
+    time_point now, worker_view& worker, const jobs::job_id& job, double weight, std::string_view why)
 {
-    of.failure_score += weight;
-    of.failing_jobs.insert(job);
-    const bool enough = of.failure_score >= options_.failure_score_limit && of.failing_jobs.size() >= 2;
-    if (!enough || now < of.set_aside_until || !is_on(mechanism::set_aside))
+    worker.failure_score += weight;
+    worker.failing_jobs.insert(job);
+    const bool enough =
+        worker.failure_score >= options_.failure_score_limit && worker.failing_jobs.size() >= 2;
+    if (!enough || now < worker.set_aside_until || !is_on(mechanism::set_aside))
     {
         return;
     }
-    of.times_set_aside = std::min(of.times_set_aside + 1, 3);
-    of.set_aside_until = now + options_.set_aside * of.times_set_aside;
-    of.failure_score = options_.failure_score_limit / 2; // on its return one more failure is enough
+    worker.times_set_aside = std::min(worker.times_set_aside + 1, 3);
+    worker.set_aside_until = now + options_.set_aside * worker.times_set_aside;
+    worker.failure_score = options_.failure_score_limit / 2; // on its return one more failure is enough
     ++counts_.workers_set_aside;
     events_.push_back(
         logging::event("dispatch", "worker_set_aside", "Nothing is placed on a worker for a while.")
-            .with("worker", of.info.life.id)
+            .with("worker", worker.info.life.id)
             .with("reason", why)
-            .with("times", of.times_set_aside));
+            .with("times", worker.times_set_aside));
 }
 
 } // namespace plumspoke::dispatch
--- a/src/dispatch/bookkeeping.cpp
+++ b/src/dispatch/bookkeeping.cpp
@@ -17,17 +17,17 @@
 }
 
 // Among the few runs of a worker a name is found with fewer comparisons than among all.
-run_view* dispatcher::find_run_on(worker_view& of, const jobs::run_name& name) noexcept
+run_view* dispatcher::find_run_on(worker_view& worker, const jobs::run_name& name) noexcept
 {
-    const auto found = std::find_if(of.runs.begin(),
-                                    of.runs.end(),
+    const auto found = std::find_if(worker.runs.begin(),
+                                    worker.runs.end(),
                                     [&name](const run_view& one)
                                     {
                                         const jobs::task_name& task = one.name.task;
                                         return task.index == name.task.index &&
                                                one.name.attempt == name.attempt && one.name == name;
                                     });
-    return found == of.runs.end() ? find_run(name) : &*found;
+    return found == worker.runs.end() ? find_run(name) : &*found;
 }
 
 worker_view* dispatcher::find_worker(const fleet::worker_life& life) noexcept
@@ -50,23 +50,23 @@
 
 worker_view& dispatcher::find_or_register_worker(const fleet::worker_life& life, const std::string& address)
 {
-    worker_view& of = find_or_add_worker(life);
-    if (of.info.address.empty())
+    worker_view& worker = find_or_add_worker(life);
+    if (worker.info.address.empty())
     {
-        of.info.address = address;
+        worker.info.address = address;
         lives_at_[address].insert(life);
     }
-    return of;
+    return worker;
 }
 
-std::vector<worker_view*> dispatcher::other_lives(const fleet::worker_life& of)
+std::vector<worker_view*> dispatcher::other_lives(const fleet::worker_life& life)
 {
     std::vector<worker_view*> others;
-    for (auto at = workers_.lower_bound({of.id, std::numeric_limits<std::int64_t>::min()});
-         at != workers_.end() && at->first.id == of.id;
+    for (auto at = workers_.lower_bound({life.id, std::numeric_limits<std::int64_t>::min()});
+         at != workers_.end() && at->first.id == life.id;
          ++at)
     {
-        if (at->first != of)
+        if (at->first != life)
         {
             others.push_back(&at->second);
         }
@@ -88,9 +88,9 @@
     {
         worker_list_stale_ = false;
         worker_list_.clear();
-        for (auto& [id, of] : workers_)
+        for (auto& [id, worker] : workers_)
         {
-            worker_list_.push_back(&of);
+            worker_list_.push_back(&worker);
         }
     }
     return worker_list_;
@@ -138,28 +138,28 @@
     return found;
 }
 
-void dispatcher::mark_changed(worker_view& of) noexcept
+void dispatcher::mark_changed(worker_view& worker) noexcept
 {
-    of.changed = ++changes_;
+    worker.changed = ++changes_;
 }
 
-bool dispatcher::may_need_order(const run_view& of) noexcept
+bool dispatcher::may_need_order(const run_view& run) noexcept
 {
-    if (of.stage == run_stage::proposed || of.stage == run_stage::ending)
+    if (run.stage == run_stage::proposed || run.stage == run_stage::ending)
     {
         return false;
     }
-    const bool to_stop = of.stop_wanted && (!of.stop_acknowledged_at.has_value() || of.stop_unconfirmed);
-    const bool other_pace = of.pace_unknown || of.wanted_pace != of.pace_percent;
-    const bool to_pace = of.stage == run_stage::running && other_pace && !of.stop_wanted;
-    return to_stop || to_pace || of.stage == run_stage::ordered;
+    const bool to_stop = run.stop_wanted && (!run.stop_acknowledged_at.has_value() || run.stop_unconfirmed);
+    const bool other_pace = run.pace_unknown || run.wanted_pace != run.pace_percent;
+    const bool to_pace = run.stage == run_stage::running && other_pace && !run.stop_wanted;
+    return to_stop || to_pace || run.stage == run_stage::ordered;
 }
 
-void dispatcher::track_if_actionable(run_view& of)
+void dispatcher::track_if_actionable(run_view& run)
 {
-    if (!of.actionable_hook.is_linked() && may_need_order(of))
+    if (!run.actionable_hook.is_linked() && may_need_order(run))
     {
-        actionable_.push_back(of);
+        actionable_.push_back(run);
     }
 }
 
--- a/src/dispatch/crashes.cpp
+++ b/src/dispatch/crashes.cpp
@@ -33,9 +33,9 @@
 // Workers announce themselves about once a second: two announcements missed, and something for their way.
 constexpr auto announcement_limit = milliseconds(2500);
 
-bool is_leaving(const worker_view& of)
+bool is_leaving(const worker_view& worker)
 {
-    return of.departs_at.has_value() || of.info.is_leaving();
+    return worker.departs_at.has_value() || worker.info.is_leaving();
 }
 
 std::vector<jobs::crash_evidence> evidence_of(const worker_runs& runs)
@@ -50,15 +50,15 @@
 
 /// @brief Whether a start of the run may yet be carried out, seconds late, by whoever has its worker's id
 /// then.
-bool may_begin_later(const run_view& of)
+bool may_begin_later(const run_view& run)
 {
-    return of.starts_sent > 0 && (of.start_in_flight || of.start_unanswered);
+    return run.starts_sent > 0 && (run.start_in_flight || run.start_unanswered);
 }
 
 /// @brief Whether the run's start may have reached its worker.
-bool may_have_begun(const run_view& of)
+bool may_have_begun(const run_view& run)
 {
-    return of.stage != run_stage::ordered || of.starts_sent > 0;
+    return run.stage != run_stage::ordered || run.starts_sent > 0;
 }
 
 } // namespace
@@ -69,45 +69,45 @@
 }
 
 void dispatcher::end_life(time_point now,
-                          worker_view& of,
+                          worker_view& worker,
                           life_end_cause how,
                           const std::optional<fleet::worker_life>& next)
 {
     // Of a life that this leader knows from a late announcement alone, nothing can have crashed now.
-    const bool was_there = of.contacted || !of.runs.empty();
-    const bool crashed = how == life_end_cause::crash && !is_leaving(of) && was_there;
-    if (!of.life_ended)
+    const bool was_there = worker.contacted || !worker.runs.empty();
+    const bool crashed = how == life_end_cause::crash && !is_leaving(worker) && was_there;
+    if (!worker.life_ended)
     {
         events_.push_back(logging::event("dispatch", "worker_over", "A worker's life is over.")
-                              .with("worker", of.info.life.id)
-                              .with("born_ms", of.info.life.born_ms)
-                              .with("address", of.info.address)
+                              .with("worker", worker.info.life.id)
+                              .with("born_ms", worker.info.life.born_ms)
+                              .with("address", worker.info.address)
                               .with("reason", to_string(how))
                               .with("crashed", crashed ? 1 : 0)
                               .with("next_born_ms", next.has_value() ? next->born_ms : 0)
-                              .with("runs", static_cast<std::int64_t>(of.runs.size())));
+                              .with("runs", static_cast<std::int64_t>(worker.runs.size())));
     }
     run_names moved_to_next;
     run_names* const late = next.has_value() ? &moved_to_next : nullptr;
     if (crashed)
     {
-        end_crashed_runs(now, of, late);
+        end_crashed_runs(now, worker, late);
     }
     else
     {
-        end_lost_runs(now, of, late);
+        end_lost_runs(now, worker, late);
     }
     for (const jobs::run_name& name : moved_to_next)
     {
-        (void)find_or_register_worker(*next, of.info.address);
+        (void)find_or_register_worker(*next, worker.info.address);
         move_to_life(name, *next);
     }
-    mark_life_ended(of);
+    mark_life_ended(worker);
 }
 
-void dispatcher::end_lost_runs(time_point now, worker_view& of, run_names* moved_to_next)
+void dispatcher::end_lost_runs(time_point now, worker_view& worker, run_names* moved_to_next)
 {
-    for (run_view& run : of.runs)
+    for (run_view& run : worker.runs)
     {
         if (run.stage != run_stage::proposed) // else its record comes back; the order then finds no worker
         {
@@ -116,58 +116,58 @@
     }
 }
 
-void dispatcher::mark_life_ended(worker_view& of)
+void dispatcher::mark_life_ended(worker_view& worker)
 {
-    of.life_ended = true;
-    of.announced = false;
-    of.contacted = false; // an announcement that was held up on its way has to be borne out by an answer
-    of.poll_in_flight = false;
-    of.next_poll_at = time_point::max();
-    of.ends_recorded = of.ends_proposed;
-    of.ends_acknowledged = of.ends_proposed;
-    of.departs_at.reset();
+    worker.life_ended = true;
+    worker.announced = false;
+    worker.contacted = false; // an announcement that was held up on its way has to be borne out by an answer
+    worker.poll_in_flight = false;
+    worker.next_poll_at = time_point::max();
+    worker.ends_recorded = worker.ends_proposed;
+    worker.ends_acknowledged = worker.ends_proposed;
+    worker.departs_at.reset();
     room_changed_ = true;
-    mark_changed(of);
+    mark_changed(worker);
 }
 
 // A start that is carried out late would find the next life under the same id willing: there the run is shut
 // out before its task goes elsewhere.
 void dispatcher::end_or_fence(
-    time_point now, run_view& of, jobs::run_end how, jobs::crash_sign sign, run_names* moved_to_next)
+    time_point now, run_view& run, jobs::run_end how, jobs::crash_sign sign, run_names* moved_to_next)
 {
-    if (moved_to_next == nullptr || of.stage == run_stage::ending || !may_begin_later(of))
+    if (moved_to_next == nullptr || run.stage == run_stage::ending || !may_begin_later(run))
     {
-        end_run(now, of, how, of.saved, sign);
+        end_run(now, run, how, run.saved, sign);
         return;
     }
-    of.pending_crash_sign = std::max(of.pending_crash_sign, sign);
-    of.stop_in_flight = false;
-    of.stop_acknowledged_at.reset();
-    fence_run(now, of, how);
-    moved_to_next->push_back(of.name);
+    run.pending_crash_sign = std::max(run.pending_crash_sign, sign);
+    run.stop_in_flight = false;
+    run.stop_acknowledged_at.reset();
+    fence_run(now, run, how);
+    moved_to_next->push_back(run.name);
 }
 
 // Those that are still silent count too: a rack that crashes comes back one worker after the other.
 bool dispatcher::is_widespread(time_point now)
 {
     const std::span<worker_view* const> all = all_workers();
-    const auto silent =
-        std::count_if(all.begin(),
-                      all.end(),
-                      [this](const worker_view* of)
-                      {
-                          return !of->life_ended && of->unanswered_calls > options_.max_unanswered_calls;
-                      });
+    const auto silent = std::count_if(all.begin(),
+                                      all.end(),
+                                      [this](const worker_view* worker)
+                                      {
+                                          return !worker->life_ended &&
+                                                 worker->unanswered_calls > options_.max_unanswered_calls;
+                                      });
     return recent_crashes_.is_widespread(now, static_cast<std::size_t>(silent), all.size());
 }
 
-void dispatcher::end_crashed_runs(time_point now, worker_view& of, run_names* moved_to_next)
+void dispatcher::end_crashed_runs(time_point now, worker_view& worker, run_names* moved_to_next)
 {
     const bool widespread = is_widespread(now);
-    const bool other_cause = widespread || recent_crashes_.crashed_recently(now, of.info.address);
+    const bool other_cause = widespread || recent_crashes_.crashed_recently(now, worker.info.address);
     const std::optional<std::uint32_t> blamed_before =
-        other_cause ? std::nullopt : jobs::find_blamed(evidence_of(of.runs));
-    for (run_view& run : of.runs)
+        other_cause ? std::nullopt : jobs::find_blamed(evidence_of(worker.runs));
+    for (run_view& run : worker.runs)
     {
         if (run.stage == run_stage::proposed)
         {
@@ -185,24 +185,24 @@
         const jobs::crash_sign sign = innocent ? jobs::crash_sign::none : unexplained;
         end_or_fence(now, run, jobs::run_end::crashed, sign, moved_to_next);
     }
-    if (!of.life_ended)
+    if (!worker.life_ended)
     {
         ++counts_.workers_crashed;
-        recent_crashes_.record(now, of.info.address);
+        recent_crashes_.record(now, worker.info.address);
     }
 }
 
-jobs::crash_sign dispatcher::crash_sign_of_lapse(time_point now, const run_view& of, bool widespread) const
+jobs::crash_sign dispatcher::crash_sign_of_lapse(time_point now, const run_view& run, bool widespread) const
 {
-    const bool sent = may_have_begun(of);
-    const bool innocent = widespread && of.survived_start;
-    return sent && !innocent && is_announcement_overdue(now, *of.on) ? jobs::crash_sign::counted
-                                                                     : jobs::crash_sign::none;
+    const bool sent = may_have_begun(run);
+    const bool innocent = widespread && run.survived_start;
+    return sent && !innocent && is_announcement_overdue(now, *run.on) ? jobs::crash_sign::counted
+                                                                      : jobs::crash_sign::none;
 }
 
-bool dispatcher::is_announcement_overdue(time_point now, const worker_view& of)
+bool dispatcher::is_announcement_overdue(time_point now, const worker_view& worker)
 {
-    return !of.announced || of.announced_at + announcement_limit < now;
+    return !worker.announced || worker.announced_at + announcement_limit < now;
 }
 
 // Load that it answers: the ten tasks of a worker that crashed, and a leader that knows only one usable
@@ -223,12 +223,12 @@
     return false;
 }
 
-double dispatcher::crash_risk_cost(time_point now, const worker_view& of) const
+double dispatcher::crash_risk_cost(time_point now, const worker_view& worker) const
 {
-    return beside_suspect_cost * of.suspects +
-           (recent_crashes_.crashed_recently(now, of.info.address) ? crashed_address_cost : 0) +
-           (of.lasting_cpu_milli > 0 ? beside_lasting_cost : 0) +
-           silence_cost * std::chrono::duration<double>(now - of.answered_at).count();
+    return beside_suspect_cost * worker.suspects +
+           (recent_crashes_.crashed_recently(now, worker.info.address) ? crashed_address_cost : 0) +
+           (worker.lasting_cpu_milli > 0 ? beside_lasting_cost : 0) +
+           silence_cost * std::chrono::duration<double>(now - worker.answered_at).count();
 }
 
 } // namespace plumspoke::dispatch
--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -101,26 +101,26 @@
     {
         return;
     }
-    worker_view& of = find_or_add_worker(heard.life);
-    if (of.announced && heard.sequence < of.info.sequence)
+    worker_view& worker = find_or_add_worker(heard.life);
+    if (worker.announced && heard.sequence < worker.info.sequence)
     {
         return;
     }
-    const bool was_draining = of.announced && of.info.state == fleet::worker_state::draining;
-    const bool first = !of.announced;
-    const bool is_news =
-        first || !of.info.says_the_same(heard) || now >= of.announced_at + options_.announcement_timeout;
-    of.info = heard;
-    of.announced = true;
-    of.announced_at = now;
+    const bool was_draining = worker.announced && worker.info.state == fleet::worker_state::draining;
+    const bool first = !worker.announced;
+    const bool is_news = first || !worker.info.says_the_same(heard) ||
+                         now >= worker.announced_at + options_.announcement_timeout;
+    worker.info = heard;
+    worker.announced = true;
+    worker.announced_at = now;
     if (is_news)
     {
         room_changed_ = true; // else each of some 450 announcements a second would lead to a placement
-        mark_changed(of);
+        mark_changed(worker);
     }
     if (first)
     {
-        of.next_poll_at = std::min(of.next_poll_at, now);
+        worker.next_poll_at = std::min(worker.next_poll_at, now);
         events_.push_back(logging::event("dispatch", "worker_known", "A worker has announced itself.")
                               .with("worker", heard.life.id)
                               .with("born_ms", heard.life.born_ms)
@@ -136,7 +136,7 @@
     }
     if (heard.state == fleet::worker_state::doubtful)
     {
-        of.next_poll_at = std::min(of.next_poll_at, now);
+        worker.next_poll_at = std::min(worker.next_poll_at, now);
     }
     if (heard.state == fleet::worker_state::draining && !was_draining)
     {
@@ -161,28 +161,28 @@
     }
 }
 
-bool dispatcher::refresh_liveness(time_point now, const fleet::worker_life& worker)
+bool dispatcher::refresh_liveness(time_point now, const fleet::worker_life& life)
 {
-    worker_view* of = find_worker(worker);
-    if (of == nullptr || !of->announced)
+    worker_view* worker = find_worker(life);
+    if (worker == nullptr || !worker->announced)
     {
         return false;
     }
-    of->announced_at = now;
+    worker->announced_at = now;
     return true;
 }
 
-void dispatcher::departed(time_point now, const fleet::worker_life& worker)
+void dispatcher::departed(time_point now, const fleet::worker_life& life)
 {
-    worker_view* of = find_worker(worker);
-    if (of == nullptr || of->departs_at.has_value())
+    worker_view* worker = find_worker(life);
+    if (worker == nullptr || worker->departs_at.has_value())
     {
         return;
     }
     // It ends right after the goodbye; half a second covers a slow way out.
-    of->departs_at = now + milliseconds(500);
+    worker->departs_at = now + milliseconds(500);
     room_changed_ = true;
-    mark_changed(*of);
+    mark_changed(*worker);
 }
 
 // ---- decisions ---------------------------------------------------------------------------------
@@ -275,7 +275,7 @@
     unconfirmed_runs out;
     const jobs::job_id* job = nullptr;
     bool job_confirmed = true;
-    for (const auto& [name, of] : runs_) // the runs of a job follow one another
+    for (const auto& [name, run] : runs_) // the runs of a job follow one another
     {
         if (job == nullptr || *job != name.task.job)
         {
@@ -283,57 +283,56 @@
             job = &name.task.job;
             job_confirmed = false;
         }
-        const bool open = of.stage == run_stage::ordered || of.stage == run_stage::inherited;
-        job_confirmed = job_confirmed || (!open && of.stage != run_stage::proposed);
+        const bool open = run.stage == run_stage::ordered || run.stage == run_stage::inherited;
+        job_confirmed = job_confirmed || (!open && run.stage != run_stage::proposed);
         if (open)
         {
-            ++(of.inherited ? out.inherited : out.own);
-            out.oldest = std::max(out.oldest, std::chrono::duration_cast<duration>(now - of.recorded_at));
+            ++(run.inherited ? out.inherited : out.own);
+            out.oldest = std::max(out.oldest, std::chrono::duration_cast<duration>(now - run.recorded_at));
         }
     }
     out.jobs += job_confirmed ? 0 : 1;
-    out.unrenewed_workers =
-        static_cast<std::uint64_t>(std::count_if(workers_.begin(),
-                                                 workers_.end(),
-                                                 [](const auto& entry)
-                                                 {
-                                                     const worker_view& of = entry.second;
-                                                     return of.has_inherited_runs && !of.runs.empty() &&
-                                                            of.lease_sent_at == time_point{};
-                                                 }));
+    out.unrenewed_workers = static_cast<std::uint64_t>(std::count_if(
+        workers_.begin(),
+        workers_.end(),
+        [](const auto& entry)
+        {
+            const worker_view& worker = entry.second;
+            return worker.has_inherited_runs && !worker.runs.empty() && worker.lease_sent_at == time_point{};
+        }));
     return out;
 }
 
-std::int64_t dispatcher::lease_for(time_point now, worker_view& of) const
+std::int64_t dispatcher::lease_for(time_point now, worker_view& worker) const
 {
     const std::int64_t until =
-        of.clock.lower_bound(now) + std::chrono::duration_cast<milliseconds>(options_.lease).count();
-    of.lease_sent_ms = std::max(of.lease_sent_ms, until);
-    if (of.lease_sent_at != time_point{})
+        worker.clock.lower_bound(now) + std::chrono::duration_cast<milliseconds>(options_.lease).count();
+    worker.lease_sent_ms = std::max(worker.lease_sent_ms, until);
+    if (worker.lease_sent_at != time_point{})
     {
-        of.max_lease_gap =
-            std::max(of.max_lease_gap, std::chrono::duration_cast<duration>(now - of.lease_sent_at));
+        worker.max_lease_gap =
+            std::max(worker.max_lease_gap, std::chrono::duration_cast<duration>(now - worker.lease_sent_at));
     }
-    of.lease_sent_at = now;
-    of.first_lease_at = of.first_lease_at == time_point{} ? now : of.first_lease_at;
+    worker.lease_sent_at = now;
+    worker.first_lease_at = worker.first_lease_at == time_point{} ? now : worker.first_lease_at;
     return until;
 }
 
-recipient dispatcher::recipient_of(const worker_view& of) const
+recipient dispatcher::recipient_of(const worker_view& worker) const
 {
-    return {of.info.life, of.info.address};
+    return {worker.info.life, worker.info.address};
 }
 
-time_point dispatcher::lease_lapse_time(const worker_view& of) const
+time_point dispatcher::lease_lapse_time(const worker_view& worker) const
 {
     const auto stretched = duration(static_cast<std::int64_t>(
         static_cast<double>(duration(options_.lease).count()) / options_.slowest_clock));
-    time_point lapse = of.has_inherited_runs && !of.contacted
+    time_point lapse = worker.has_inherited_runs && !worker.contacted
                            ? leading_since_ + stretched + options_.lapse_margin
                            : time_point{};
-    if (of.lease_sent_ms > 0)
+    if (worker.lease_sent_ms > 0)
     {
-        lapse = std::max(lapse, of.clock.certainly_past(of.lease_sent_ms) + options_.lapse_margin);
+        lapse = std::max(lapse, worker.clock.certainly_past(worker.lease_sent_ms) + options_.lapse_margin);
     }
     if (lapse == time_point{})
     {
@@ -342,11 +341,11 @@
     return lapse;
 }
 
-void dispatcher::remove_life_from_address(const worker_view& of)
+void dispatcher::remove_life_from_address(const worker_view& worker)
 {
     worker_list_stale_ = true;
-    const auto lives = lives_at_.find(of.info.address);
-    if (lives != lives_at_.end() && lives->second.erase(of.info.life) > 0 && lives->second.empty())
+    const auto lives = lives_at_.find(worker.info.address);
+    if (lives != lives_at_.end() && lives->second.erase(worker.info.life) > 0 && lives->second.empty())
     {
         lives_at_.erase(lives);
     }
@@ -357,15 +356,15 @@
     std::erase_if(workers_,
                   [&](const auto& entry)
                   {
-                      const worker_view& of = entry.second;
-                      const time_point last_heard = std::max(of.announced_at, of.answered_at);
+                      const worker_view& worker = entry.second;
+                      const time_point last_heard = std::max(worker.announced_at, worker.answered_at);
                       const bool silent =
-                          !of.announced || last_heard + 2 * options_.announcement_timeout < now;
-                      const bool over = silent && of.runs.empty() && !of.poll_in_flight &&
-                                        of.ends_proposed == of.ends_recorded;
+                          !worker.announced || last_heard + 2 * options_.announcement_timeout < now;
+                      const bool over = silent && worker.runs.empty() && !worker.poll_in_flight &&
+                                        worker.ends_proposed == worker.ends_recorded;
                       if (over)
                       {
-                          remove_life_from_address(of);
+                          remove_life_from_address(worker);
                           worker_by_life_.erase(entry.first);
                       }
                       return over;
--- a/src/dispatch/due_orders.cpp
+++ b/src/dispatch/due_orders.cpp
@@ -27,11 +27,11 @@
 void dispatcher::order_due_polls(time_point now, dispatch_output& out)
 {
     std::vector<worker_view*> due;
-    for (worker_view* of : all_workers())
+    for (worker_view* worker : all_workers())
     {
-        if (update_worker(now, *of))
+        if (update_worker(now, *worker))
         {
-            due.push_back(of);
+            due.push_back(worker);
         }
     }
     const auto passed = std::chrono::duration_cast<milliseconds>(now - decided_at_).count();
@@ -49,51 +49,52 @@
                          });
         due.erase(last, due.end());
     }
-    for (worker_view* of : due)
+    for (worker_view* worker : due)
     {
-        order_poll(now, *of, out);
+        order_poll(now, *worker, out);
     }
 }
 
 /// @return whether the worker is to be asked now
-bool dispatcher::update_worker(time_point now, worker_view& of)
+bool dispatcher::update_worker(time_point now, worker_view& worker)
 {
-    if (of.departs_at.has_value() && now >= *of.departs_at)
+    if (worker.departs_at.has_value() && now >= *worker.departs_at)
     {
-        end_life(now, of, life_end_cause::departure);
+        end_life(now, worker, life_end_cause::departure);
         return false;
     }
-    const bool has_something = !of.runs.empty() || of.ends_proposed > of.ends_acknowledged;
-    if (has_something && now >= lease_lapse_time(of))
+    const bool has_something = !worker.runs.empty() || worker.ends_proposed > worker.ends_acknowledged;
+    if (has_something && now >= lease_lapse_time(worker))
     {
-        end_lapsed_runs(now, of);
+        end_lapsed_runs(now, worker);
     }
     // A worker without runs that didn't answer is asked on: else it would count as silent for ever.
-    const bool wanted =
-        has_something || (of.announced && !of.contacted) || (is_present(now, of) && of.unanswered_calls > 0);
-    return !of.poll_in_flight && wanted && now >= of.next_poll_at;
+    const bool wanted = has_something || (worker.announced && !worker.contacted) ||
+                        (is_present(now, worker) && worker.unanswered_calls > 0);
+    return !worker.poll_in_flight && wanted && now >= worker.next_poll_at;
 }
 
-void dispatcher::order_poll(time_point now, worker_view& of, dispatch_output& out)
+void dispatcher::order_poll(time_point now, worker_view& worker, dispatch_output& out)
 {
     poll_order sent;
-    sent.to = recipient_of(of);
+    sent.to = recipient_of(worker);
     sent.fencing_token = term_;
-    sent.ends_recorded = of.ends_recorded;
-    if (of.clock.known() && of.unanswered_calls == 0)
+    sent.ends_recorded = worker.ends_recorded;
+    if (worker.clock.known() && worker.unanswered_calls == 0)
     {
         // A worker that doesn't answer is only asked: a lease that might arrive would put off for ever
         // the time at which its runs have surely lapsed.
-        sent.lease_until_ms = lease_for(now, of);
+        sent.lease_until_ms = lease_for(now, worker);
     }
-    const bool calm = of.contacted && of.unanswered_calls == 0 && of.ends_proposed == of.ends_recorded;
-    const bool watched = !overload_.is_late(now) && wants_new_reports(of);
+    const bool calm =
+        worker.contacted && worker.unanswered_calls == 0 && worker.ends_proposed == worker.ends_recorded;
+    const bool watched = !overload_.is_late(now) && wants_new_reports(worker);
     milliseconds wait = watched ? options_.watched_poll_wait : options_.poll_wait;
     // So that a suspect which outlives its start is known to soon: a widespread crash then doesn't count.
-    wait = of.suspects > 0 && !overload_.is_late(now) ? options_.suspect_poll_wait : wait;
+    wait = worker.suspects > 0 && !overload_.is_late(now) ? options_.suspect_poll_wait : wait;
     sent.wait_ms = calm ? wait.count() : 0;
-    of.poll_in_flight = true;
-    of.poll_sent_at = now;
+    worker.poll_in_flight = true;
+    worker.poll_sent_at = now;
     ++counts_.polls;
     out.orders.emplace_back(std::move(sent));
 }
@@ -103,59 +104,59 @@
 {
     for (auto at = actionable_.begin(); at != actionable_.end();)
     {
-        run_view& of = *at++;
-        order_for_run(now, of, state, out);
-        order_pace(now, of, out);
-        if (!may_need_order(of))
+        run_view& run = *at++;
+        order_for_run(now, run, state, out);
+        order_pace(now, run, out);
+        if (!may_need_order(run))
         {
-            of.actionable_hook.unlink();
+            run.actionable_hook.unlink();
         }
     }
 }
 
-void dispatcher::order_for_run(time_point now, run_view& of, const jobs::store& state, dispatch_output& out)
+void dispatcher::order_for_run(time_point now, run_view& run, const jobs::store& state, dispatch_output& out)
 {
-    if (of.stage == run_stage::proposed || of.stage == run_stage::ending)
+    if (run.stage == run_stage::proposed || run.stage == run_stage::ending)
     {
         return;
     }
-    if (of.stop_wanted)
+    if (run.stop_wanted)
     {
         // Not held up by an unanswered start: a worker rejects a start that comes after the run's stop.
-        const bool due = !of.stop_acknowledged_at.has_value() || of.stop_unconfirmed;
-        if (!of.stop_in_flight && now >= of.next_stop_at && due)
+        const bool due = !run.stop_acknowledged_at.has_value() || run.stop_unconfirmed;
+        if (!run.stop_in_flight && now >= run.next_stop_at && due)
         {
-            of.next_stop_at = now + stop_retry;
-            of.stop_unconfirmed = false;
-            order_stop(now, of, out);
+            run.next_stop_at = now + stop_retry;
+            run.stop_unconfirmed = false;
+            order_stop(now, run, out);
         }
         return;
     }
-    if (of.stage != run_stage::ordered || of.start_in_flight || now < of.next_start_at)
+    if (run.stage != run_stage::ordered || run.start_in_flight || now < run.next_start_at)
     {
         return;
     }
-    if (of.starts_sent == 0 && is_worker_leaving(of))
+    if (run.starts_sent == 0 && is_worker_leaving(run))
     {
-        end_run(now, of, jobs::run_end::not_begun, {}); // no order was sent, so nothing can begin
+        end_run(now, run, jobs::run_end::not_begun, {}); // no order was sent, so nothing can begin
         return;
     }
-    order_start(now, of, state, out);
+    order_start(now, run, state, out);
 }
 
 // While the record of the start was on its way the worker may have said that it leaves.
-bool dispatcher::is_worker_leaving(const run_view& of) noexcept
+bool dispatcher::is_worker_leaving(const run_view& run) noexcept
 {
-    return of.on != nullptr &&
-           (of.on->info.state == fleet::worker_state::draining ||
-            of.on->info.state == fleet::worker_state::gone || of.on->departs_at.has_value());
+    return run.on != nullptr &&
+           (run.on->info.state == fleet::worker_state::draining ||
+            run.on->info.state == fleet::worker_state::gone || run.on->departs_at.has_value());
 }
 
-void dispatcher::order_start(time_point now, run_view& of, const jobs::store& state, dispatch_output& out)
+void dispatcher::order_start(time_point now, run_view& run, const jobs::store& state, dispatch_output& out)
 {
-    worker_view* on = find_worker(of.worker);
-    const jobs::job* job = state.find(of.name.task.job);
-    const jobs::task* task = state.find(of.name.task);
+    worker_view* on = find_worker(run.worker);
+    const jobs::job* job = state.find(run.name.task.job);
+    const jobs::task* task = state.find(run.name.task);
     if (on == nullptr || job == nullptr || task == nullptr || !on->clock.known())
     {
         return;
@@ -166,27 +167,27 @@
     // As with polls: a lease that might reach a silent worker would put off the time of its lapse.
     const bool renews = on->unanswered_calls == 0 || on->lease_sent_ms == 0;
     sent.lease_until_ms = renews ? lease_for(now, *on) : on->lease_sent_ms;
-    sent.name = of.name;
+    sent.name = run.name;
     sent.payload = job->spec.payload;
     sent.saved = task->saved;
-    of.start_in_flight = true;
-    ++of.starts_sent;
+    run.start_in_flight = true;
+    ++run.starts_sent;
     ++counts_.starts_ordered;
     out.orders.emplace_back(std::move(sent));
 }
 
-void dispatcher::order_stop(time_point now, run_view& of, dispatch_output& out)
+void dispatcher::order_stop(time_point now, run_view& run, dispatch_output& out)
 {
-    const worker_view* on = find_worker(of.worker);
+    const worker_view* on = find_worker(run.worker);
     if (on == nullptr)
     {
         return;
     }
-    of.stop_in_flight = true;
-    of.first_stop_at = of.stops_sent == 0 ? now : of.first_stop_at;
-    ++of.stops_sent;
+    run.stop_in_flight = true;
+    run.first_stop_at = run.stops_sent == 0 ? now : run.first_stop_at;
+    ++run.stops_sent;
     ++counts_.stops_ordered;
-    out.orders.emplace_back(stop_order{recipient_of(*on), term_, of.name});
+    out.orders.emplace_back(stop_order{recipient_of(*on), term_, run.name});
 }
 
 } // namespace plumspoke::dispatch
--- a/src/dispatch/lapses.cpp
+++ b/src/dispatch/lapses.cpp
@@ -44,15 +44,15 @@
     return value == lapse_detector::leader ? "leader" : "worker";
 }
 
-void dispatcher::end_lapsed_runs(time_point now, worker_view& of)
+void dispatcher::end_lapsed_runs(time_point now, worker_view& worker)
 {
-    const contact_snapshot contact = make_contact_snapshot(of);
+    const contact_snapshot contact = make_contact_snapshot(worker);
     const bool widespread = is_widespread(now);
-    if (is_announcement_overdue(now, of))
+    if (is_announcement_overdue(now, worker))
     {
-        recent_crashes_.record(now, of.info.address);
+        recent_crashes_.record(now, worker.info.address);
     }
-    for (run_view& run : of.runs)
+    for (run_view& run : worker.runs)
     {
         if (run.stage != run_stage::proposed && run.stage != run_stage::ending)
         {
@@ -65,13 +65,13 @@
 void dispatcher::end_lapsed_run(time_point now,
                                 lapse_detector found_by,
                                 const contact_snapshot& contact,
-                                run_view& of,
+                                run_view& run,
                                 const std::string& saved,
                                 jobs::crash_sign sign)
 {
     const lapse_cause cause = cause_of_lapse(found_by, contact);
     ++counts_.runs_lapsed.at(static_cast<std::size_t>(found_by)).at(static_cast<std::size_t>(cause));
-    logging::event line = run_lost_event(now, of, jobs::run_end::lapsed);
+    logging::event line = run_lost_event(now, run, jobs::run_end::lapsed);
     line.with("found_by", to_string(found_by))
         .with("cause", to_string(cause))
         .with("answer_age_ms", age_ms(now, contact.answered_at))
@@ -83,14 +83,14 @@
         .with("silent_calls", contact.unanswered_calls)
         .with("contacted", contact.contacted ? 1 : 0)
         .with("announced", contact.announced ? 1 : 0)
-        .with("inherited", of.inherited ? 1 : 0)
-        .with("stage", static_cast<std::int64_t>(of.stage))
+        .with("inherited", run.inherited ? 1 : 0)
+        .with("stage", static_cast<std::int64_t>(run.stage))
         .with("term_age_ms", age_ms(now, leading_since_))
         .with("vanished", sign == jobs::crash_sign::none ? 0 : 1)
         .with("step_gap_ms", age_ms(now, decided_at_));
     events_.push_back(std::move(line));
-    of.end_read_at = now;
-    record_end(of, jobs::run_end::lapsed, saved, sign);
+    run.end_read_at = now;
+    record_end(run, jobs::run_end::lapsed, saved, sign);
 }
 
 lapse_cause dispatcher::cause_of_lapse(lapse_detector found_by, const contact_snapshot& contact) const
--- a/src/dispatch/ready_steps.cpp
+++ b/src/dispatch/ready_steps.cpp
@@ -28,51 +28,51 @@
     double remaining_ms = 0; // of the steps that have not ended
 };
 
-double dispatcher::predict_step_ms(const jobs::job& of, std::uint32_t step) const
+double dispatcher::predict_step_ms(const jobs::job& job, std::uint32_t step) const
 {
-    const std::uint32_t estimate_ms = of.spec.steps[step].estimate_ms;
+    const std::uint32_t estimate_ms = job.spec.steps[step].estimate_ms;
     return is_on(mechanism::predicted_lateness)
-               ? duration_predictor_.predict_ms(of.taken_from.name, estimate_ms)
+               ? duration_predictor_.predict_ms(job.taken_from.name, estimate_ms)
                : estimate_ms;
 }
 
-dispatcher::chain_durations dispatcher::predict_chain(const ready_step& of) const
+dispatcher::chain_durations dispatcher::predict_chain(const ready_step& ready) const
 {
     chain_durations out; // steps mostly wait for the one before
-    const double overhead_ms = stage_delays_.overhead_ms(of.kind());
-    for (std::uint32_t step = 0; step < of.at->steps.size(); ++step)
+    const double overhead_ms = stage_delays_.overhead_ms(ready.kind());
+    for (std::uint32_t step = 0; step < ready.at->steps.size(); ++step)
     {
-        const bool ended = of.at->steps[step].done == of.at->steps[step].tasks.size();
-        const auto seen = ended ? steps_.find({of.job->id, step}) : steps_.end();
+        const bool ended = ready.at->steps[step].done == ready.at->steps[step].tasks.size();
+        const auto seen = ended ? steps_.find({ready.job->id, step}) : steps_.end();
         const double took_ms = seen == steps_.end() ? 0 : seen->second->longest_ms;
-        const double step_ms = took_ms > 0 ? took_ms : predict_step_ms(*of.job, step);
+        const double step_ms = took_ms > 0 ? took_ms : predict_step_ms(*ready.job, step);
         out.total_ms += step_ms;
         out.remaining_ms += ended ? 0 : step_ms + overhead_ms;
     }
     return out;
 }
 
-void dispatcher::rank(ready_step& of, std::int64_t day_ms) const
+void dispatcher::rank(ready_step& ready, std::int64_t day_ms) const
 {
-    const jobs::job& job = *of.job;
-    const chain_durations chain = predict_chain(of);
+    const jobs::job& job = *ready.job;
+    const chain_durations chain = predict_chain(ready);
     const bool predicts = is_on(mechanism::predicted_lateness);
     const std::int64_t since = job.spec.repeat_count == 0
                                    ? job.accepted_at_ms
-                                   : job.spec.first_due_ms + of.at->number * job.spec.interval_ms;
+                                   : job.spec.first_due_ms + ready.at->number * job.spec.interval_ms;
     const auto objective_ms = static_cast<std::int64_t>(job.taken_from.objective_factor * chain.total_ms) +
                               job.taken_from.objective_extra_ms;
     const auto remaining_ms = predicts ? static_cast<std::int64_t>(chain.remaining_ms) : 0;
-    of.deadline_ms = since + objective_ms - remaining_ms;
+    ready.deadline_ms = since + objective_ms - remaining_ms;
     const std::int64_t age_ms = day_ms - since + remaining_ms;
-    if (of.spec->lasting || age_ms <= objective_ms)
+    if (ready.spec->lasting || age_ms <= objective_ms)
     {
-        of.lateness = lateness_class::in_time;
+        ready.lateness = lateness_class::in_time;
     }
     else
     {
         const bool late = static_cast<double>(age_ms) <= late_factor * static_cast<double>(objective_ms);
-        of.lateness = late ? lateness_class::late : lateness_class::hopeless;
+        ready.lateness = late ? lateness_class::late : lateness_class::hopeless;
     }
 }
 
@@ -129,20 +129,20 @@
 }
 
 // Most live steps have all their tasks running: nothing is to be placed there, so no task is looked up.
-bool dispatcher::has_waiting(const jobs::step& of, const jobs::step_spec& spec) const
+bool dispatcher::has_waiting(const jobs::step& step, const jobs::step_spec& spec) const
 {
     const bool copies = spec.copies_allowed && !copy_wanted_.empty();
-    return std::any_of(of.tasks.begin(),
-                       of.tasks.end(),
+    return std::any_of(step.tasks.begin(),
+                       step.tasks.end(),
                        [copies](const jobs::task& one)
                        {
                            return one.phase != jobs::task_phase::done && (copies || one.runs.empty());
                        });
 }
 
-bool dispatcher::has_lost_run(const ready_step& of)
+bool dispatcher::has_lost_run(const ready_step& ready)
 {
-    const std::vector<jobs::task>& tasks = of.state().tasks;
+    const std::vector<jobs::task>& tasks = ready.state().tasks;
     return std::any_of(tasks.begin(),
                        tasks.end(),
                        [](const jobs::task& one)
@@ -151,16 +151,16 @@
                        });
 }
 
-bool dispatcher::has_runs(const jobs::job& of) const
+bool dispatcher::has_runs(const jobs::job& job) const
 {
-    const auto any = runs_.lower_bound({{of.id, 0, 0, 0}, 0});
-    return any != runs_.end() && any->first.task.job == of.id;
+    const auto any = runs_.lower_bound({{job.id, 0, 0, 0}, 0});
+    return any != runs_.end() && any->first.task.job == job.id;
 }
 
-bool dispatcher::is_urgent(const ready_step& of, std::int64_t day_ms) const
+bool dispatcher::is_urgent(const ready_step& ready, std::int64_t day_ms) const
 {
-    const bool restarted = of.spec->lasting && of.job->granted;
-    return restarted || (!has_runs(*of.job) && day_ms > of.job->accepted_at_ms + urgent_after.count());
+    const bool restarted = ready.spec->lasting && ready.job->granted;
+    return restarted || (!has_runs(*ready.job) && day_ms > ready.job->accepted_at_ms + urgent_after.count());
 }
 
 } // namespace plumspoke::dispatch
--- a/src/dispatch/retry_backoff.cpp
+++ b/src/dispatch/retry_backoff.cpp
@@ -15,10 +15,10 @@
 
 void retry_backoff::record_failure(time_point now, const jobs::task_name& task)
 {
-    backoff& of = tasks_[task];
-    const int doublings = std::min(of.count - 1, max_doublings);
-    of.until = of.count == 0 ? now : now + initial_pause * (1 << doublings);
-    ++of.count;
+    backoff& state = tasks_[task];
+    const int doublings = std::min(state.count - 1, max_doublings);
+    state.until = state.count == 0 ? now : now + initial_pause * (1 << doublings);
+    ++state.count;
 }
 
 void retry_backoff::reset(const jobs::task_name& task)
--- a/src/dispatch/rounds.cpp
+++ b/src/dispatch/rounds.cpp
@@ -89,11 +89,11 @@
 dispatcher::round_proposal dispatcher::make_proposal(const jobs::round& planned) const
 {
     round_proposal proposal;
-    for (const auto& [id, of] : workers_)
+    for (const auto& [id, worker] : workers_)
     {
-        if (of.ends_proposed > of.ends_recorded)
+        if (worker.ends_proposed > worker.ends_recorded)
         {
-            proposal.recorded_ends[id] = of.ends_proposed;
+            proposal.recorded_ends[id] = worker.ends_proposed;
         }
     }
     for (const jobs::run_ended& one : planned.ends)
@@ -117,9 +117,9 @@
     // Ends of runs that nobody waits for need no record.
     for (const auto& [id, number] : empty.recorded_ends)
     {
-        worker_view& of = workers_.at(id);
-        of.ends_recorded = number;
-        of.next_poll_at = now;
+        worker_view& worker = workers_.at(id);
+        worker.ends_recorded = number;
+        worker.next_poll_at = now;
     }
 }
 
@@ -219,20 +219,20 @@
 {
     for (std::size_t i = 0; i < round.starts.size(); ++i)
     {
-        run_view* of = find_run(round.starts[i]);
-        if (of == nullptr)
+        run_view* run = find_run(round.starts[i]);
+        if (run == nullptr)
         {
             continue;
         }
         if (accepted.has_value() && i < accepted->size() && (*accepted)[i])
         {
-            of->stage = run_stage::ordered;
-            stage_delays_.record(kind_of(of->lasting, of->filler),
+            run->stage = run_stage::ordered;
+            stage_delays_.record(kind_of(run->lasting, run->filler),
                                  task_stage::start_record,
-                                 std::chrono::duration_cast<duration>(now - of->granted_at));
-            of->recorded_at = now;
-            of->next_start_at = now;
-            track_if_actionable(*of);
+                                 std::chrono::duration_cast<duration>(now - run->granted_at));
+            run->recorded_at = now;
+            run->next_start_at = now;
+            track_if_actionable(*run);
         }
         else
         {
@@ -242,10 +242,10 @@
 }
 
 // Each end of a short task that is heard of late keeps a caller waiting, and few workers have one.
-duration dispatcher::next_poll_delay(time_point now, const worker_view& of) const
+duration dispatcher::next_poll_delay(time_point now, const worker_view& worker) const
 {
-    const bool has_short_task = std::any_of(of.runs.begin(),
-                                            of.runs.end(),
+    const bool has_short_task = std::any_of(worker.runs.begin(),
+                                            worker.runs.end(),
                                             [](const run_view& run)
                                             {
                                                 return !run.lasting && !run.filler;
@@ -264,18 +264,18 @@
 {
     for (const jobs::run_name& name : round.ends)
     {
-        if (run_view* of = find_run(name); of != nullptr)
+        if (run_view* run = find_run(name); run != nullptr)
         {
-            of->stage = run_stage::running;
-            track_if_actionable(*of);
+            run->stage = run_stage::running;
+            track_if_actionable(*run);
         }
     }
-    for (const auto& [worker, number] : round.recorded_ends)
+    for (const auto& [life, number] : round.recorded_ends)
     {
-        if (worker_view* of = find_worker(worker); of != nullptr)
+        if (worker_view* worker = find_worker(life); worker != nullptr)
         {
-            of->ends_proposed = of->ends_recorded;
-            of->next_poll_at = now;
+            worker->ends_proposed = worker->ends_recorded;
+            worker->next_poll_at = now;
         }
     }
 }
@@ -291,21 +291,21 @@
 {
     for (const jobs::run_name& name : round.ends)
     {
-        if (const run_view* of = find_run(name); of != nullptr)
+        if (const run_view* run = find_run(name); run != nullptr)
         {
-            of->siblings->last_end_at = now;
-            stage_delays_.record(kind_of(of->lasting, of->filler),
+            run->siblings->last_end_at = now;
+            stage_delays_.record(kind_of(run->lasting, run->filler),
                                  task_stage::end_record,
-                                 std::chrono::duration_cast<duration>(now - of->end_read_at));
+                                 std::chrono::duration_cast<duration>(now - run->end_read_at));
         }
         remove_run(name);
     }
-    for (const auto& [worker, number] : round.recorded_ends)
+    for (const auto& [life, number] : round.recorded_ends)
     {
-        if (worker_view* of = find_worker(worker); of != nullptr)
+        if (worker_view* worker = find_worker(life); worker != nullptr)
         {
-            of->ends_recorded = std::max(of->ends_recorded, number);
-            of->next_poll_at = std::max(now, of->answered_at + next_poll_delay(now, *of));
+            worker->ends_recorded = std::max(worker->ends_recorded, number);
+            worker->next_poll_at = std::max(now, worker->answered_at + next_poll_delay(now, *worker));
         }
     }
 }
--- a/src/dispatch/run_lost_event.hpp
+++ b/src/dispatch/run_lost_event.hpp
@@ -10,38 +10,38 @@
 {
 
 /// @param now for how long ago the run was recorded; its start was sent right after
-[[nodiscard]] inline logging::event run_lost_event(time_point now, const run_view& of, jobs::run_end how)
+[[nodiscard]] inline logging::event run_lost_event(time_point now, const run_view& run, jobs::run_end how)
 {
-    const auto age = std::chrono::duration_cast<milliseconds>(now - of.recorded_at);
+    const auto age = std::chrono::duration_cast<milliseconds>(now - run.recorded_at);
     return logging::event("dispatch", "run_lost", "A run has ended without its work being done.")
-        .with("job", of.name.task.job)
-        .with("step", of.name.task.step)
-        .with("index", of.name.task.index)
-        .with("attempt", of.name.attempt)
-        .with("worker", of.worker.id)
-        .with("born_ms", of.worker.born_ms)
-        .with("address", of.on->info.address)
-        .with("begun", was_confirmed(of) ? 1 : 0)
+        .with("job", run.name.task.job)
+        .with("step", run.name.task.step)
+        .with("index", run.name.task.index)
+        .with("attempt", run.name.attempt)
+        .with("worker", run.worker.id)
+        .with("born_ms", run.worker.born_ms)
+        .with("address", run.on->info.address)
+        .with("begun", was_confirmed(run) ? 1 : 0)
         .with("age_ms", age.count())
-        .with("beside", static_cast<std::int64_t>(of.on->runs.size()) - 1)
+        .with("beside", static_cast<std::int64_t>(run.on->runs.size()) - 1)
         .with("how", static_cast<std::int64_t>(how))
-        .with("percent", of.percent)
-        .with("crashes_before", of.evidence.crashes)
-        .with("blamed_before", of.evidence.blamed);
+        .with("percent", run.percent)
+        .with("crashes_before", run.evidence.crashes)
+        .with("blamed_before", run.evidence.blamed);
 }
 
 /// @param evidence with that of this run
-[[nodiscard]] inline logging::event task_given_up_event(const run_view& of,
+[[nodiscard]] inline logging::event task_given_up_event(const run_view& run,
                                                         const jobs::crash_evidence& evidence)
 {
     return logging::event("dispatch", "task_given_up", "Workers crash under a task; its job has failed.")
-        .with("job", of.name.task.job)
-        .with("step", of.name.task.step)
-        .with("index", of.name.task.index)
-        .with("attempt", of.name.attempt)
-        .with("worker", of.worker.id)
-        .with("born_ms", of.worker.born_ms)
-        .with("address", of.on->info.address)
+        .with("job", run.name.task.job)
+        .with("step", run.name.task.step)
+        .with("index", run.name.task.index)
+        .with("attempt", run.name.attempt)
+        .with("worker", run.worker.id)
+        .with("born_ms", run.worker.born_ms)
+        .with("address", run.on->info.address)
         .with("crashes", evidence.crashes)
         .with("blamed", evidence.blamed);
 }
--- a/src/dispatch/stage_delays.cpp
+++ b/src/dispatch/stage_delays.cpp
@@ -13,10 +13,10 @@
 constexpr std::int64_t us_per_ms = 1000;
 constexpr double max_weight = 200; // samples after which old ones fade
 
-std::int64_t percentile_95(std::vector<std::int64_t>& of)
+std::int64_t percentile_95(std::vector<std::int64_t>& values)
 {
-    const auto at = of.begin() + (std::ssize(of) - 1) * 95 / 100;
-    std::nth_element(of.begin(), at, of.end());
+    const auto at = values.begin() + (std::ssize(values) - 1) * 95 / 100;
+    std::nth_element(values.begin(), at, values.end());
     return *at;
 }
 
@@ -45,17 +45,17 @@
     const auto kind_index = static_cast<std::size_t>(kind);
     const auto stage_index = static_cast<std::size_t>(stage);
     samples_.at(kind_index).at(stage_index).push_back(took.count());
-    recent_mean& of = recent_.at(kind_index).at(stage_index);
-    of.weight = std::min(of.weight + 1, max_weight);
-    of.ms += (std::chrono::duration<double, std::milli>(took).count() - of.ms) / of.weight;
+    recent_mean& mean = recent_.at(kind_index).at(stage_index);
+    mean.weight = std::min(mean.weight + 1, max_weight);
+    mean.ms += (std::chrono::duration<double, std::milli>(took).count() - mean.ms) / mean.weight;
 }
 
 double stage_delays::overhead_ms(work_kind kind) const noexcept
 {
-    const auto& of = recent_[static_cast<std::size_t>(kind)];
-    return of[static_cast<std::size_t>(task_stage::start_record)].ms +
-           of[static_cast<std::size_t>(task_stage::start_order)].ms +
-           of[static_cast<std::size_t>(task_stage::end_record)].ms;
+    const auto& means = recent_[static_cast<std::size_t>(kind)];
+    return means[static_cast<std::size_t>(task_stage::start_record)].ms +
+           means[static_cast<std::size_t>(task_stage::start_order)].ms +
+           means[static_cast<std::size_t>(task_stage::end_record)].ms;
 }
 
 logging::event stage_delays::to_event()
@@ -65,16 +65,16 @@
     {
         for (std::size_t stage = 0; stage < task_stage_count; ++stage)
         {
-            samples& of = samples_.at(kind).at(stage);
-            if (of.empty())
+            samples& series = samples_.at(kind).at(stage);
+            if (series.empty())
             {
                 continue;
             }
             const std::string name = std::string(to_string(static_cast<work_kind>(kind))) + "_" +
                                      std::string(to_string(static_cast<task_stage>(stage)));
-            const std::int64_t sum = std::accumulate(of.begin(), of.end(), std::int64_t{0});
-            line.with(name + "_mean_ms", sum / std::ssize(of) / us_per_ms)
-                .with(name + "_p95_ms", percentile_95(of) / us_per_ms);
+            const std::int64_t sum = std::accumulate(series.begin(), series.end(), std::int64_t{0});
+            line.with(name + "_mean_ms", sum / std::ssize(series) / us_per_ms)
+                .with(name + "_p95_ms", percentile_95(series) / us_per_ms);
         }
     }
     return line;
@@ -84,9 +84,9 @@
 {
     for (auto& stages : samples_)
     {
-        for (samples& of : stages)
+        for (samples& series : stages)
         {
-            of.clear();
+            series.clear();
         }
     }
 }
--- a/src/dispatch/step_duration_predictor.cpp
+++ b/src/dispatch/step_duration_predictor.cpp
@@ -24,18 +24,18 @@
 
 void step_duration_predictor::observe(const std::string& queue, std::uint32_t estimate_ms, double took_ms)
 {
-    moments& of = queues_[queue];
+    moments& stats = queues_[queue];
     const double duration_log = to_log(took_ms);
     const double estimate = estimate_ms == 0 ? duration_log : to_log(estimate_ms);
-    of.weight = std::min(of.weight + 1, max_weight);
-    const double share = 1 / of.weight;
-    const double estimate_deviation = estimate - of.mean_estimate;
-    const double duration_deviation = duration_log - of.mean_duration;
-    of.mean_estimate += share * estimate_deviation;
-    of.mean_duration += share * duration_deviation;
-    of.estimate_variance =
-        (1 - share) * (of.estimate_variance + share * estimate_deviation * estimate_deviation);
-    of.covariance = (1 - share) * (of.covariance + share * estimate_deviation * duration_deviation);
+    stats.weight = std::min(stats.weight + 1, max_weight);
+    const double share = 1 / stats.weight;
+    const double estimate_deviation = estimate - stats.mean_estimate;
+    const double duration_deviation = duration_log - stats.mean_duration;
+    stats.mean_estimate += share * estimate_deviation;
+    stats.mean_duration += share * duration_deviation;
+    stats.estimate_variance =
+        (1 - share) * (stats.estimate_variance + share * estimate_deviation * estimate_deviation);
+    stats.covariance = (1 - share) * (stats.covariance + share * estimate_deviation * duration_deviation);
 }
 
 double step_duration_predictor::predict_ms(const std::string& queue, std::uint32_t estimate_ms) const
@@ -45,13 +45,13 @@
     {
         return std::max<double>(estimate_ms, min_ms);
     }
-    const moments& of = found->second;
-    const double estimate = estimate_ms == 0 ? of.mean_estimate : to_log(estimate_ms);
+    const moments& stats = found->second;
+    const double estimate = estimate_ms == 0 ? stats.mean_estimate : to_log(estimate_ms);
     // The guess's own variance is not known for sure while few were seen: it is shrunk towards the mean.
     const double slope =
-        of.estimate_variance > 0 ? std::clamp(of.covariance / of.estimate_variance, 0.0, 1.0) : 0.0;
-    const double learned = of.mean_duration + slope * (estimate - of.mean_estimate);
-    const double known = of.weight / (of.weight + prior_weight);
+        stats.estimate_variance > 0 ? std::clamp(stats.covariance / stats.estimate_variance, 0.0, 1.0) : 0.0;
+    const double learned = stats.mean_duration + slope * (estimate - stats.mean_estimate);
+    const double known = stats.weight / (stats.weight + prior_weight);
     const double prior = estimate_ms == 0 ? learned : estimate;
     return std::exp(known * learned + (1 - known) * prior);
 }
--- a/src/dispatch/watch.cpp
+++ b/src/dispatch/watch.cpp
@@ -38,26 +38,26 @@
 void dispatcher::watch_runs(time_point now, const jobs::store& state)
 {
     note_references();
-    for (auto& [name, of] : runs_)
+    for (auto& [name, run] : runs_)
     {
-        note_held_run(now, of);
-        watch_run(now, of);
-        stop_redundant_copy(of, state);
-        track_if_actionable(of);
+        note_held_run(now, run);
+        watch_run(now, run);
+        stop_redundant_copy(run, state);
+        track_if_actionable(run);
     }
 }
 
 void dispatcher::watch_workers(time_point now, const jobs::store& state)
 {
-    for (worker_view* of : all_workers())
+    for (worker_view* worker : all_workers())
     {
-        if (of->serving_runs > 0 && of->filler_cpu_milli > 0)
+        if (worker->serving_runs > 0 && worker->filler_cpu_milli > 0)
         {
-            guard_target(now, *of);
+            guard_target(now, *worker);
         }
-        if (of->announced && of->info.state == fleet::worker_state::draining)
+        if (worker->announced && worker->info.state == fleet::worker_state::draining)
         {
-            watch_draining(now, *of, state);
+            watch_draining(now, *worker, state);
         }
     }
     if (now >= next_cleaning_at_)
@@ -102,79 +102,80 @@
                   });
 }
 
-void dispatcher::stop_redundant_copy(run_view& of, const jobs::store& state)
+void dispatcher::stop_redundant_copy(run_view& run, const jobs::store& state)
 {
-    if (!of.copies_allowed || of.gang)
+    if (!run.copies_allowed || run.gang)
     {
         return;
     }
-    const jobs::task* task = state.find(of.name.task);
+    const jobs::task* task = state.find(run.name.task);
     if (task != nullptr && task->phase == jobs::task_phase::done)
     {
-        of.stop_wanted = true; // a copy was faster
+        run.stop_wanted = true; // a copy was faster
     }
 }
 
 // For each run ten times a second: it looks nothing up by name. Runs of jobs that have ended are to be
 // stopped and are passed over.
-void dispatcher::watch_run(time_point now, run_view& of)
+void dispatcher::watch_run(time_point now, run_view& run)
 {
-    if (of.stop_wanted)
+    if (run.stop_wanted)
     {
-        retry_unconfirmed_stop(now, of);
+        retry_unconfirmed_stop(now, run);
         return;
     }
-    worker_view& on = *of.on;
+    worker_view& on = *run.on;
     const bool silent = on.unanswered_calls > options_.max_unanswered_calls;
-    if (of.copies_allowed && silent && of.stage != run_stage::ending && is_on(mechanism::copies))
+    if (run.copies_allowed && silent && run.stage != run_stage::ending && is_on(mechanism::copies))
     {
-        copy_wanted_.insert(of.name.task);
+        copy_wanted_.insert(run.name.task);
         return;
     }
-    if (of.filler && of.stage == run_stage::running && of.wanted_pace < moved_pace && !of.saved.empty() &&
-        now > of.slowed_since + move_delay && failed_on_[of.name.task].size() < max_moves)
+    if (run.filler && run.stage == run_stage::running && run.wanted_pace < moved_pace && !run.saved.empty() &&
+        now > run.slowed_since + move_delay && failed_on_[run.name.task].size() < max_moves)
     {
         ++counts_.moved_pace;
-        move_run(now, of, "it would disturb what serves here");
+        move_run(now, run, "it would disturb what serves here");
         return;
     }
-    const bool judged = of.stage == run_stage::running && !silent && of.pace_percent >= whole_percent;
-    if (!judged || of.gang || !is_on(mechanism::straggler_moves))
+    const bool judged = run.stage == run_stage::running && !silent && run.pace_percent >= whole_percent;
+    if (!judged || run.gang || !is_on(mechanism::straggler_moves))
     {
         return;
     }
-    const bool at_work = of.lasting && of.percent >= whole_percent;
-    const bool reported = of.confirmed_at > of.progress_at + options_.stall_timeout / 2;
-    if (!at_work && reported && now > of.progress_at + options_.stall_timeout)
+    const bool at_work = run.lasting && run.percent >= whole_percent;
+    const bool reported = run.confirmed_at > run.progress_at + options_.stall_timeout / 2;
+    if (!at_work && reported && now > run.progress_at + options_.stall_timeout)
     {
-        move_stalled_run(now, of);
+        move_stalled_run(now, run);
         return;
     }
-    if (of.lasting || of.siblings->done == 0 || of.percent < min_measured_percent)
+    if (run.lasting || run.siblings->done == 0 || run.percent < min_measured_percent)
     {
         return;
     }
-    const double elapsed = std::chrono::duration<double, std::milli>(of.confirmed_at - of.started_at).count();
+    const double elapsed =
+        std::chrono::duration<double, std::milli>(run.confirmed_at - run.started_at).count();
     const double left =
-        elapsed * static_cast<double>(whole_percent - of.percent) / static_cast<double>(of.percent);
-    const double again = of.siblings->mean_ms * (of.saves_progress && !of.saved.empty() ? 0.5 : 1.0);
+        elapsed * static_cast<double>(whole_percent - run.percent) / static_cast<double>(run.percent);
+    const double again = run.siblings->mean_ms * (run.saves_progress && !run.saved.empty() ? 0.5 : 1.0);
     const double extra = std::chrono::duration<double, std::milli>(options_.straggler_margin).count();
     // A filler is slow where others use their processors: it is moved for much, and its worker not blamed.
-    const double factor = options_.straggler_factor * (of.filler ? filler_straggler_factor : 1);
-    if (left > factor * again + extra && (!of.filler || !of.saved.empty()))
+    const double factor = options_.straggler_factor * (run.filler ? filler_straggler_factor : 1);
+    if (left > factor * again + extra && (!run.filler || !run.saved.empty()))
     {
-        move_straggling_run(now, of);
+        move_straggling_run(now, run);
     }
 }
 
 // Nothing else doubts an acknowledgement while polls go unanswered.
-void dispatcher::retry_unconfirmed_stop(time_point now, run_view& of)
+void dispatcher::retry_unconfirmed_stop(time_point now, run_view& run)
 {
-    if (of.stop_acknowledged_at.has_value() &&
-        now > std::max(*of.stop_acknowledged_at, of.next_stop_at) + stop_confirmation_timeout)
+    if (run.stop_acknowledged_at.has_value() &&
+        now > std::max(*run.stop_acknowledged_at, run.next_stop_at) + stop_confirmation_timeout)
     {
-        of.stop_unconfirmed = true;
-        track_if_actionable(of);
+        run.stop_unconfirmed = true;
+        track_if_actionable(run);
     }
 }
 
@@ -186,70 +187,70 @@
 
 // What stands still wherever it runs must not be moved for ever, nor set sound workers aside: each move
 // doubles the timeout, and only the first worker gets the whole blame.
-void dispatcher::move_stalled_run(time_point now, run_view& of)
+void dispatcher::move_stalled_run(time_point now, run_view& run)
 {
-    const int moves = slow_moves_of(of.name.task);
+    const int moves = slow_moves_of(run.name.task);
     const duration timeout = options_.stall_timeout * (1 << std::min(moves, max_timeout_doublings));
-    if (now <= of.progress_at + timeout)
+    if (now <= run.progress_at + timeout)
     {
         return;
     }
-    ++slow_moves_[of.name.task];
+    ++slow_moves_[run.name.task];
     ++counts_.moved_stalled;
     penalize_worker(
-        now, *of.on, of.name.task.job, moves == 0 ? 1 : repeated_failure_weight, "its tasks stand still");
-    move_run(now, of, "standstill");
+        now, *run.on, run.name.task.job, moves == 0 ? 1 : repeated_failure_weight, "its tasks stand still");
+    move_run(now, run, "standstill");
 }
 
 // A task that is slower than its fellows by nature would be moved on for ever and never end.
-void dispatcher::move_straggling_run(time_point now, run_view& of)
+void dispatcher::move_straggling_run(time_point now, run_view& run)
 {
-    const int moves = slow_moves_of(of.name.task);
+    const int moves = slow_moves_of(run.name.task);
     if (moves >= max_straggler_moves)
     {
         return;
     }
-    ++slow_moves_[of.name.task];
+    ++slow_moves_[run.name.task];
     ++counts_.moved_straggler;
     const double weight = moves == 0 ? 0.5 : 0.5 * repeated_failure_weight;
-    penalize_worker(now, *of.on, of.name.task.job, of.filler ? 0 : weight, "its tasks are slow");
-    move_run(now, of, "straggler");
+    penalize_worker(now, *run.on, run.name.task.job, run.filler ? 0 : weight, "its tasks are slow");
+    move_run(now, run, "straggler");
 }
 
-void dispatcher::move_run(time_point now, run_view& of, std::string_view why)
+void dispatcher::move_run(time_point now, run_view& run, std::string_view why)
 {
-    if (of.copies_allowed && runs_of(of.name.task).count > 1)
+    if (run.copies_allowed && runs_of(run.name.task).count > 1)
     {
-        of.progress_at = now; // its copy is on the way already
+        run.progress_at = now; // its copy is on the way already
         return;
     }
     events_.push_back(logging::event("dispatch", "run_moved", "A run is given up for another one elsewhere.")
-                          .with("job", of.name.task.job)
-                          .with("step", of.name.task.step)
-                          .with("index", of.name.task.index)
-                          .with("attempt", of.name.attempt)
-                          .with("worker", of.worker.id)
-                          .with("born_ms", of.worker.born_ms)
-                          .with("percent", of.percent)
+                          .with("job", run.name.task.job)
+                          .with("step", run.name.task.step)
+                          .with("index", run.name.task.index)
+                          .with("attempt", run.name.attempt)
+                          .with("worker", run.worker.id)
+                          .with("born_ms", run.worker.born_ms)
+                          .with("percent", run.percent)
                           .with("reason", why));
-    failed_on_[of.name.task].insert(of.worker);
-    if (of.copies_allowed && is_on(mechanism::copies))
+    failed_on_[run.name.task].insert(run.worker);
+    if (run.copies_allowed && is_on(mechanism::copies))
     {
-        of.progress_at = now; // judged again after another while
-        copy_wanted_.insert(of.name.task);
+        run.progress_at = now; // judged again after another while
+        copy_wanted_.insert(run.name.task);
         return;
     }
-    of.stop_wanted = true;
-    of.end_if_absent = jobs::run_end::stopped;
-    of.next_stop_at = now;
-    track_if_actionable(of);
+    run.stop_wanted = true;
+    run.end_if_absent = jobs::run_end::stopped;
+    run.next_stop_at = now;
+    track_if_actionable(run);
 }
 
-void dispatcher::watch_draining(time_point now, worker_view& of, const jobs::store& state)
+void dispatcher::watch_draining(time_point now, worker_view& worker, const jobs::store& state)
 {
-    const auto since = std::chrono::duration_cast<milliseconds>(now - of.announced_at).count();
-    const std::int64_t left_ms = of.info.time_left_ms - since - options_.drain_reserve.count();
-    for (run_view& run : of.runs)
+    const auto since = std::chrono::duration_cast<milliseconds>(now - worker.announced_at).count();
+    const std::int64_t left_ms = worker.info.time_left_ms - since - options_.drain_reserve.count();
+    for (run_view& run : worker.runs)
     {
         const jobs::job* job = state.find(run.name.task.job);
         if (job == nullptr || run.stop_wanted || run.stage == run_stage::ending ||
@@ -286,15 +287,15 @@
     std::int64_t paced = 0;
     std::int64_t silent = 0;
     std::int64_t aside = 0;
-    for (const auto& [id, of] : workers_)
+    for (const auto& [id, worker] : workers_)
     {
-        usable += is_usable(now, of, false) ? 1 : 0;
-        serving += of.serving_runs > 0 ? 1 : 0;
-        silent += of.unanswered_calls > options_.max_unanswered_calls ? 1 : 0;
-        aside += now < of.set_aside_until ? 1 : 0;
-        whole_cpu += of.announced ? of.info.room.cpu_milli : 0;
-        used_cpu += of.used.cpu_milli;
-        filler_cpu += of.filler_cpu_milli;
+        usable += is_usable(now, worker, false) ? 1 : 0;
+        serving += worker.serving_runs > 0 ? 1 : 0;
+        silent += worker.unanswered_calls > options_.max_unanswered_calls ? 1 : 0;
+        aside += now < worker.set_aside_until ? 1 : 0;
+        whole_cpu += worker.announced ? worker.info.room.cpu_milli : 0;
+        used_cpu += worker.used.cpu_milli;
+        filler_cpu += worker.filler_cpu_milli;
     }
     for (const auto& [name, run] : runs_)
     {
--- a/src/dispatch/worker_view.cpp
+++ b/src/dispatch/worker_view.cpp
@@ -29,18 +29,18 @@
     return out;
 }
 
-contact_snapshot make_contact_snapshot(const worker_view& of)
+contact_snapshot make_contact_snapshot(const worker_view& worker)
 {
     contact_snapshot out;
-    out.answered_at = of.answered_at;
-    out.lease_sent_at = of.lease_sent_at;
-    out.first_lease_at = of.first_lease_at;
-    out.poll_sent_at = of.poll_sent_at;
-    out.max_lease_gap = of.max_lease_gap;
-    out.unanswered_calls = of.unanswered_calls;
-    out.contacted = of.contacted;
-    out.announced = of.announced;
-    out.poll_in_flight = of.poll_in_flight;
+    out.answered_at = worker.answered_at;
+    out.lease_sent_at = worker.lease_sent_at;
+    out.first_lease_at = worker.first_lease_at;
+    out.poll_sent_at = worker.poll_sent_at;
+    out.max_lease_gap = worker.max_lease_gap;
+    out.unanswered_calls = worker.unanswered_calls;
+    out.contacted = worker.contacted;
+    out.announced = worker.announced;
+    out.poll_in_flight = worker.poll_in_flight;
     return out;
 }
 
