--- a/include/plumspoke/dispatch/decision_rate_limiter.hpp
+++ b/include/plumspoke/dispatch/decision_rate_limiter.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief How often a leader decides.
+/// @brief Limits how often a leader makes decisions.
 
 #include "plumspoke/time/time.hpp"
 
@@ -10,33 +10,33 @@
 namespace plumspoke::dispatch
 {
 
-/// @brief Rests after each decision for a multiple of what it took, so that answers and renewals of leases
-///        have the larger part of a small processor, however much there is to decide.
+/// @brief Pauses after each decision for a multiple of its duration, so that answers and lease renewals get
+///        the larger part of a small processor under any load.
 ///
-/// What happens meanwhile is taken into one decision. Time is counted by the clock, not by the processor: a
-/// leader that is kept from running decides less often too.
+/// Events that arrive during the pause are handled in one decision. Durations are wall-clock time rather
+/// than processor time, so a leader that is not scheduled also decides less often.
 class decision_rate_limiter
 {
   public:
-    /// @brief When the next decision may be made.
+    /// @brief The earliest time of the next decision.
     [[nodiscard]] time_point next_at() const noexcept
     {
         return next_at_;
     }
 
-    /// @brief Takes note of a decision.
+    /// @brief Records a decision and computes the pause after it.
     void record(time_point begun, time_point ended) noexcept
     {
         next_at_ = ended + std::min<time_point::duration>(pause_factor * (ended - begun), max_pause);
     }
 
-    /// @brief Whether a decision gives way to the heartbeats that renew the leader's own lease.
-    /// @param lease_left of the leader's lease, which its peers renew
+    /// @brief Whether a decision should be deferred in favour of the heartbeats that renew the leader's
+    /// lease.
+    /// @param lease_left the time left of the leader's lease, which its peers renew
     ///
-    /// Load that it answers: a leader at the end of its processors. Its heartbeats and their answers share
-    /// them with the decisions; a term that ends for want of a renewal costs every run's lease and a
-    /// take-over, and makes more to do for the next leader. A decision put off by a fifth of a second costs a
-    /// few starts.
+    /// On a leader that uses all of its processors, heartbeats and their answers compete with decisions. A
+    /// term that ends for lack of a renewal costs the leases of all runs and a take-over, which is more work
+    /// for the next leader. Deferring a decision by 200 ms delays only a few starts.
     [[nodiscard]] bool should_defer(time_point now, duration lease_left) noexcept
     {
         if (lease_left >= min_lease_left)
@@ -52,20 +52,20 @@
         {
             return true;
         }
-        deferring_since_ = now; // one decision; where peers are always slow, one each time
+        deferring_since_ = now; // allows one decision per `max_deferral` while peers stay slow
         return false;
     }
 
   private:
-    // A lease lasts 600 ms after the heartbeat that renewed it, and one is sent each 150 ms: with less than
-    // this left two in a row are missing.
+    // A lease lasts 600 ms from the heartbeat that renewed it, and heartbeats are sent every 150 ms: below
+    // this, two in a row are missing.
     static constexpr duration min_lease_left = milliseconds(250);
-    // Renewals of workers' leases are due once a second.
+    // Well below the interval of one second at which workers' leases are renewed.
     static constexpr duration max_deferral = milliseconds(200);
-    // Decisions of up to 17 ms take a quarter of the time at most; the bound on the rest keeps longer ones
-    // going.
+    // Decisions of up to 17 ms use at most a quarter of the time; `max_pause` bounds the pause after longer
+    // ones.
     static constexpr int pause_factor = 3;
-    // A start waits for its record for some 15 ms anyway, and a renewal is due once a second.
+    // Committing a start takes about 15 ms anyway, and a lease renewal is due once a second.
     static constexpr duration max_pause = milliseconds(50);
 
     time_point next_at_{};
--- a/include/plumspoke/dispatch/dispatcher.hpp
+++ b/include/plumspoke/dispatch/dispatcher.hpp
@@ -1,18 +1,19 @@
 #pragma once
 
 /// @file
-/// @brief The leader's decisions on tasks: where they run, when they are stopped, when a run is surely
-///        over. No I/O, no clock, no lock.
+/// @brief The leader's decisions on tasks: where they run, when they are stopped and when a run has certainly
+///        ended. No I/O, no clock, no locks.
 ///
-/// Rules that keep a task from running twice:
+/// Rules that prevent a task from running twice:
 /// - A run is recorded before its start order is sent.
-/// - All orders carry the leader's term as fencing token. Once a worker has answered this leader, orders
-///   of earlier leaders have no effect there.
-/// - A run is over when its worker lists its end, when the worker's life is over, when the worker has
-///   acknowledged a stop and doesn't list the run any more, or when the latest lease that anyone gave the
-///   worker has surely lapsed on the worker's own clock. Silence alone is never an end.
-/// - All that is known of a worker is known of one life of it; another life may have the same id. A life is
-///   over once another one, whatever its time of birth, has answered what was sent after it was last heard.
+/// - All orders carry the leader's term as fencing token. Once a worker has answered this leader, orders of
+///   earlier leaders have no effect there.
+/// - A run has ended when its worker reports its end, when the worker's life has ended, when the worker has
+///   acknowledged a stop and no longer lists the run, or when the latest lease given to the worker by any
+///   leader has certainly lapsed on the worker's clock. A missing answer alone never ends a run.
+/// - Knowledge about a worker belongs to one life of it; another life may have the same id. A life has ended
+///   once another one, whatever its birth time, has answered a message that was sent after the life was last
+///   heard from.
 
 #include "plumspoke/dispatch/counts.hpp"
 #include "plumspoke/dispatch/held_tasks.hpp"
@@ -42,23 +43,24 @@
 namespace plumspoke::dispatch
 {
 
-/// @brief A command for the log, with what it is to change here once it is committed.
+/// @brief A command for the replicated log, identified so that its result can be reported back.
 struct planned_round
 {
     std::uint64_t id = 0;
     jobs::round command;
 };
 
-/// @brief What the shell has to do.
+/// @brief The results of a decision, to be carried out by the caller.
 struct dispatch_output
 {
     std::vector<order> orders;
     std::vector<planned_round> rounds;
     std::vector<logging::event> events;
-    std::vector<std::int64_t> cancels_stopped_ms; // of each cancel whose last run is over: how long it took
+    std::vector<std::int64_t>
+        cancels_stopped_ms; // for each cancelled job whose last run has ended: time since the cancel
 };
 
-/// @brief One leader's view, for the length of its term.
+/// @brief The dispatcher of one leader; its state lasts for one term.
 class dispatcher
 {
   public:
@@ -66,10 +68,11 @@
     /// @{
     explicit dispatcher(dispatch_options options);
 
-    /// @brief Begins a term: forgets all, and takes over what the state records of runs and of images.
+    /// @brief Begins a term: discards all state and takes over the recorded runs and learned effects of
+    /// images.
     void lead(time_point now, std::uint64_t term, const jobs::store& state);
 
-    /// @brief Forgets all; nothing is decided until the next term.
+    /// @brief Ends the term: discards all state but the counters; nothing is decided until the next term.
     void step_down();
     /// @}
 
@@ -77,27 +80,28 @@
     /// @{
     void announced(time_point now, const fleet::announcement& heard);
 
-    /// @return false where the worker is not known here: it has to be announced whole
+    /// @return false if the worker is unknown and has to be announced in full
     bool refresh_liveness(time_point now, const fleet::worker_life& worker);
 
     void departed(time_point now, const fleet::worker_life& worker);
-    void answered(time_point now, const sent_order& sent, const worker_answer& got);
+    void answered(time_point now, const sent_order& sent, const worker_answer& answer);
 
-    /// @param accepted which starts were recorded; nothing where the round was not committed
+    /// @param accepted which starts were recorded; nullopt if the round was not committed
     void round_ended(time_point now, std::uint64_t id, const std::optional<std::vector<bool>>& accepted);
 
-    /// @brief Takes note of how late the next decision comes, for how much it may take on.
+    /// @brief Records how late the next decision is made, for overload control.
     void record_lateness(time_point now, duration late) noexcept
     {
         overload_.record(now, late);
     }
 
-    /// @brief Takes in how long the last decision took. After one that considered fillers some don't.
+    /// @brief Records the duration of the last decision. After one that considered fillers, the following
+    /// ones skip them for a multiple of that time.
     void on_decided(duration took) noexcept;
 
-    /// @brief Decides what to do next.
-    /// @param now our steady clock
-    /// @param day_ms the agreed time of day, for due times
+    /// @brief Makes the next decision.
+    /// @param now reading of the leader's steady clock
+    /// @param day_ms the agreed time of day in ms, for due times
     [[nodiscard]] dispatch_output decide(time_point now, std::int64_t day_ms, const jobs::store& state);
     /// @}
 
@@ -145,7 +149,7 @@
         std::vector<jobs::run_name> ends;
         std::vector<jobs::run_name> starts;
         std::vector<jobs::job_id> begun;
-        std::map<fleet::worker_life, std::uint64_t> recorded_ends; // ends up to this one
+        std::map<fleet::worker_life, std::uint64_t> recorded_ends; // ends up to this number
     };
     void apply_start_results(time_point now,
                              const round_proposal& round,
@@ -203,28 +207,28 @@
     void track_if_actionable(run_view& run);
 
     // ---- answers (answers.cpp)
-    void on(time_point now, const poll_order& sent, time_point sent_at, const worker_answer& got);
-    void on(time_point now, const start_order& sent, time_point sent_at, const worker_answer& got);
-    void on(time_point now, const stop_order& sent, time_point sent_at, const worker_answer& got);
-    void on(time_point now, const pace_order& sent, time_point sent_at, const worker_answer& got);
+    void on(time_point now, const poll_order& sent, time_point sent_at, const worker_answer& answer);
+    void on(time_point now, const start_order& sent, time_point sent_at, const worker_answer& answer);
+    void on(time_point now, const stop_order& sent, time_point sent_at, const worker_answer& answer);
+    void on(time_point now, const pace_order& sent, time_point sent_at, const worker_answer& answer);
     void note_begun(time_point now, const jobs::run_name& name);
     void handle_accepted_start(time_point now, worker_view& on, run_view& run);
     void handle_unanswered_start(time_point now, run_view& run);
     void handle_expired_start(time_point now, run_view& run);
     void handle_rejected_start(time_point now, worker_view& on, run_view& run, reply how);
     void fence_run(time_point now, run_view& run, jobs::run_end end_if_absent);
-    worker_view* record_contact(time_point now, const recipient& to, const worker_answer& got);
-    void handle_other_life(time_point now, const recipient& asked, const worker_answer& got);
-    void resolve_unnamed_life(const recipient& asked, const fleet::worker_life& told);
+    worker_view* record_contact(time_point now, const recipient& to, const worker_answer& answer);
+    void handle_other_life(time_point now, const recipient& asked, const worker_answer& answer);
+    void resolve_unnamed_life(const recipient& asked, const fleet::worker_life& named_life);
     void end_earlier_lives(time_point now, const worker_view& worker, time_point sent_at);
-    void apply_running(time_point now, time_point sent_at, worker_view& worker, const worker_answer& got);
+    void apply_running(time_point now, time_point sent_at, worker_view& worker, const worker_answer& answer);
     void apply_finished(time_point now,
                         worker_view& worker,
                         const contact_snapshot& before,
-                        const worker_answer& got);
+                        const worker_answer& answer);
     void record_finished_start(time_point now, const finished_row& row, const run_view* run);
     void
-    detect_missing_runs(time_point now, worker_view& worker, time_point sent_at, const worker_answer& got);
+    detect_missing_runs(time_point now, worker_view& worker, time_point sent_at, const worker_answer& answer);
     void end_run(time_point now,
                  run_view& run,
                  jobs::run_end how,
@@ -235,7 +239,7 @@
     void record_end(run_view& run, jobs::run_end how, const std::string& saved, jobs::crash_sign sign);
 
     // ---- crashes (crashes.cpp)
-    /// @param next the life that has answered in its place, where it told itself
+    /// @param next the life that has answered in its place, if it identified itself
     void end_life(time_point now,
                   worker_view& worker,
                   life_end_cause how,
@@ -246,7 +250,8 @@
     [[nodiscard]] bool is_widespread(time_point now);
     [[nodiscard]] jobs::crash_sign
     crash_sign_of_lapse(time_point now, const run_view& run, bool widespread) const;
-    /// @param moved_to_next takes runs that the next life has to shut out; null: there is none
+    /// @param moved_to_next receives runs that have to be fenced on the next life; null: there is no next
+    /// life
     void end_crashed_runs(time_point now, worker_view& worker, run_names* moved_to_next);
     void end_lost_runs(time_point now, worker_view& worker, run_names* moved_to_next);
     void mark_life_ended(worker_view& worker);
@@ -492,7 +497,7 @@
     void learn_interference(const worker_view& of);
     void set_paces(time_point now, worker_view& of, const run_view& serving);
     void release_paces(time_point now, worker_view& of, double slack);
-    void order_pace(time_point now, run_view& of, dispatch_output& out);
+    void order_pace(time_point now, run_view& run, dispatch_output& out);
     void stop_unknown_runs(dispatch_output& out);
 
     dispatch_options options_;
@@ -501,26 +506,27 @@
     time_point leading_since_{};
     time_point decided_at_{}; // the last decision before this one
     std::map<fleet::worker_life, worker_view> workers_;
-    // The same, for each answer, without a tree's comparisons of texts.
+    // Index of `workers_` for lookups by answer, without the string comparisons of the tree.
     std::unordered_map<fleet::worker_life, worker_view*, fleet::worker_life_hash> worker_by_life_;
-    // The same by name, for walks over all of them: a tree's nodes lie far apart.
+    // The workers in order of their lives, for iteration: tree nodes are scattered in memory.
     std::vector<worker_view*> worker_list_;
     bool worker_list_stale_ = true;
-    std::map<std::string, std::set<fleet::worker_life>> lives_at_; // address: who was announced there
+    std::map<std::string, std::set<fleet::worker_life>> lives_at_; // lives announced at each address
     std::map<jobs::run_name, run_view> runs_;
-    actionable_runs actionable_; // the only runs that a decision looks at; all others need no order now
+    actionable_runs actionable_; // the only runs that a decision visits; all others need no order
     std::uint64_t changes_ = 0;  // of workers, as far as a placement looks at them
     std::map<jobs::task_name, std::set<fleet::worker_life>> failed_on_; // where a task has failed
     std::set<jobs::task_name> copy_wanted_;
     std::size_t held_count_ = 0; // workers whose room is kept for urgent tasks, as of the last placement
     std::map<step_id, full_step> full_steps_; // what found no room at the last placement
     std::map<std::pair<jobs::job_id, std::uint32_t>, boost::intrusive_ptr<step_stats>> steps_; // by job, step
-    std::map<jobs::job_id, std::int64_t> cancelled_at_ms_; // cancelled jobs with runs that may go on
+    std::map<jobs::job_id, std::int64_t>
+        cancelled_at_ms_; // cancelled jobs with runs that may still be running
     std::vector<jobs::run_ended> pending_ends_;
-    std::set<jobs::job_id> begun_jobs_; // of which a worker has begun a task, to be recorded
-    time_point begun_due_{};            // when that is recorded though nothing else is
+    std::set<jobs::job_id> begun_jobs_; // jobs with a task begun by a worker, to be recorded
+    time_point begun_due_{};            // when these are recorded even without anything else to record
     std::vector<std::pair<fleet::worker_life, jobs::run_name>>
-        unknown_runs_; // run where nobody asked for them
+        unknown_runs_; // listed by workers but unknown here
     std::map<std::uint64_t, round_proposal> in_flight_;
     std::uint64_t next_round_ = 1;
     std::uint64_t placements_ = 0;
@@ -551,9 +557,9 @@
     interference interference_;
     recent_crashes recent_crashes_;
     retry_backoff retry_backoff_;
-    std::map<jobs::task_name, int> slow_moves_; // moves as a straggler, or since it stood still
+    std::map<jobs::task_name, int> slow_moves_; // moves as a straggler or stalled run
     std::map<jobs::task_name, time_point>
-        isolation_wait_since_; // suspects that found no worker without another one
+        isolation_wait_since_; // suspects that found only workers with another suspect
     double calm_slack_;        // the least that undisturbed serving tasks had lately
     std::vector<logging::event> events_;
     dispatch_counts counts_;
--- a/include/plumspoke/dispatch/overload_controller.hpp
+++ b/include/plumspoke/dispatch/overload_controller.hpp
@@ -1,11 +1,11 @@
 #pragma once
 
 /// @file
-/// @brief How far a leader is behind, and what it leaves for later because of it.
+/// @brief Overload control of a leader: sheds load when decisions come late.
 ///
-/// Renewals of leases come first: a lease that lapses throws work away and makes more to do. So a leader that
-/// is late starts fewer tasks (additive increase, multiplicative decrease, as in Chiu and Jain, 1989), asks
-/// its workers less often, and, where that is not enough, takes no new jobs.
+/// Lease renewals have precedence, since a lapsed lease discards work and causes more of it. A late leader
+/// starts fewer tasks (additive increase, multiplicative decrease; Chiu and Jain, 1989), polls its workers
+/// less often and, if that is not enough, refuses new jobs.
 
 #include "plumspoke/time/time.hpp"
 
@@ -15,11 +15,11 @@
 namespace plumspoke::dispatch
 {
 
-/// @brief The strain of one term.
+/// @brief Measures the lateness of decisions in one term and derives the limits from it.
 class overload_controller
 {
   public:
-    /// @brief Takes note of how late a decision comes.
+    /// @brief Records how late a decision is made.
     void record(time_point now, duration late) noexcept
     {
         smoothed_lateness_ = std::max(late, smoothed_lateness_ * decay_numerator / decay_denominator);
@@ -35,23 +35,23 @@
         late_until_ = now + late_duration;
     }
 
-    /// @brief How many tasks one decision may start.
+    /// @brief The number of tasks that one decision may start.
     [[nodiscard]] std::size_t starts_allowed() const noexcept
     {
         return starts_allowed_;
     }
 
-    /// @brief Whether the leader was late within the last second: then workers are asked less often.
+    /// @brief Whether the leader was late within the last second; workers are polled less often then.
     [[nodiscard]] bool is_late(time_point now) const noexcept
     {
         return now < late_until_;
     }
 
-    /// @brief How long a worker whose tasks end isn't asked again: longer the later decisions come, well
-    /// before they
-    ///        count as late, so that a leader near the end of its processor makes itself less to do in time.
+    /// @brief Delay until the next poll of a worker whose tasks end. It grows with the lateness of decisions
+    /// and
+    ///        well before they count as late, so that a leader close to saturation sheds load in time.
     ///
-    /// For thousands of workers and a leader with little processor: its polls would take what starts need.
+    /// With thousands of workers and a small processor, polls would otherwise use the time that starts need.
     [[nodiscard]] duration poll_delay_after_ends(duration shortest, duration longest) const noexcept
     {
         if (smoothed_lateness_ <= normal_lateness)
@@ -62,37 +62,36 @@
         return shortest + (longest - shortest) * over.count() / (lateness_limit - normal_lateness).count();
     }
 
-    /// @brief Whether the leader has been late for so long, without a breath between, that it should take no
-    ///        more jobs.
+    /// @brief Whether the leader has been late without recovering for so long that it should refuse new jobs.
     [[nodiscard]] bool refuses_jobs(time_point now) const noexcept
     {
         return is_late(now) && behind_since_ != time_point{} && now >= behind_since_ + overload_delay;
     }
 
   private:
-    // A poll is sent once a second and renews for four: a wait of a tenth of a second is far from harm, and
-    // more than any pause of a processor that is given out in tenths of a second.
+    // Polls are sent once a second and renew for four, so this delay does no harm. It exceeds the pauses of
+    // processor time that is allotted in periods of 100 ms.
     static constexpr duration lateness_limit = milliseconds(150);
-    // Of a leader that has time: it looks each 25 ms, and decisions take a few.
+    // Lateness of an idle leader: it checks every 25 ms, and decisions take a few milliseconds.
     static constexpr duration normal_lateness = milliseconds(30);
-    // Lateness fades by a tenth with each look: half of it within a fifth of a second.
+    // The smoothed lateness decays by a tenth with each check, to one half within about 200 ms.
     static constexpr int decay_numerator = 9;
     static constexpr int decay_denominator = 10;
     static constexpr duration late_duration = milliseconds(1000);
-    // Starting fewer tasks takes effect within two decisions; a burst of work passes in a second.
+    // Starting fewer tasks takes effect within two decisions, and a burst of work is over within a second.
     static constexpr duration overload_delay = milliseconds(1000);
-    // Looks in a row, of some 25 ms each: a leader that is late once a second keeps up otherwise.
+    // Consecutive checks on time, about 25 ms apart: a leader that is late only once a second keeps up.
     static constexpr int recovery_streak = 8;
     static constexpr std::size_t max_starts = 512;
     static constexpr std::size_t min_starts = 4;
-    // Of a new leader, which doesn't know yet what it bears: too many at once would make it late for the
-    // leases that it took over. All are allowed after 28 looks on time, some 0.7 s.
+    // A new leader doesn't know its capacity yet, and too many starts would delay the renewal of inherited
+    // leases. The maximum is reached after 28 checks on time, about 0.7 s.
     static constexpr std::size_t initial_starts = 64;
     static constexpr std::size_t start_increment = 16;
 
     std::size_t starts_allowed_ = initial_starts;
     duration smoothed_lateness_{};
-    int on_time_streak_ = 0; // in a row
+    int on_time_streak_ = 0;
     time_point behind_since_{};
     time_point late_until_{};
 };
--- a/include/plumspoke/dispatch/recent_crashes.hpp
+++ b/include/plumspoke/dispatch/recent_crashes.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief Which workers have crashed lately, by address: what explains a crash other than the tasks there.
+/// @brief Recent crashes of workers by address: explanations of a crash other than the tasks that ran there.
 
 #include "plumspoke/time/time.hpp"
 
@@ -12,21 +12,20 @@
 namespace plumspoke::dispatch
 {
 
-/// @brief The crashes that this leader has seen in its term: soft state.
+/// @brief The crashes seen by this leader in its term; soft state.
 class recent_crashes
 {
   public:
-    /// @brief Takes note of a crash, and forgets old ones.
-    /// @complexity linear in the number of addresses that crashed lately
+    /// @brief Records a crash and removes old ones.
+    /// @complexity linear in the number of recently crashed addresses
     void record(time_point now, const std::string& address);
 
-    /// @brief Whether a worker at this address crashed in the last minute.
+    /// @brief Whether a worker at this address crashed within the last minute.
     [[nodiscard]] bool crashed_recently(time_point now, const std::string& address) const;
 
-    /// @brief Whether so many of the workers crashed in the last seconds that it has one cause outside of
-    /// them.
-    /// @param silent workers that don't answer and may have crashed as well
-    /// @param workers all that are known
+    /// @brief Whether so many workers crashed within the last 5 s that a common external cause is likely.
+    /// @param silent the number of workers that don't answer and may have crashed too
+    /// @param workers the number of known workers
     [[nodiscard]] bool is_widespread(time_point now, std::size_t silent, std::size_t workers) const;
 
   private:
--- a/include/plumspoke/dispatch/retry_backoff.hpp
+++ b/include/plumspoke/dispatch/retry_backoff.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief How long a task waits before it is tried again after a setback that no budget counts.
+/// @brief Exponential back-off of tasks whose starts fail without counting against their failure limit.
 
 #include "plumspoke/jobs/model.hpp"
 #include "plumspoke/time/time.hpp"
@@ -12,20 +12,20 @@
 namespace plumspoke::dispatch
 {
 
-/// @brief Growing pauses by task: soft state of one term.
+/// @brief Exponential back-off by task; soft state of one term.
 ///
-/// For a start that every worker rejects, or a lasting task that fails at once: each would be recorded and
-/// sent again in the next decision.
+/// Without it, a start that every worker rejects, or a lasting task that fails at once, would be recorded and
+/// sent again in every decision.
 class retry_backoff
 {
   public:
-    /// @brief Takes note of a setback: the first has no pause, the next ones 50 to 800 ms.
+    /// @brief Records a failure: the first causes no pause, the following ones pauses of 50 to 800 ms.
     void record_failure(time_point now, const jobs::task_name& task);
 
-    /// @brief A run of the task has gone on for a while: the next setback is the first again.
+    /// @brief Resets the back-off of a task whose run was stable or succeeded.
     void reset(const jobs::task_name& task);
 
-    /// @brief Forgets the tasks of jobs that are over.
+    /// @brief Removes the tasks of ended jobs.
     void erase_jobs(const std::function<bool(const jobs::job_id&)>& is_over);
 
     [[nodiscard]] bool is_backing_off(time_point now, const jobs::task_name& task) const;
--- a/include/plumspoke/dispatch/stage_delays.hpp
+++ b/include/plumspoke/dispatch/stage_delays.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief How long tasks spend in each stage between their turn and the record of their end, by kind of work.
+/// @brief Time that tasks spend in each stage from readiness to the record of their end, by kind of work.
 
 #include "plumspoke/dispatch/placement_counts.hpp"
 #include "plumspoke/time/time.hpp"
@@ -15,32 +15,33 @@
 namespace plumspoke::dispatch
 {
 
-/// @brief A stage of a task; the leader's own clock separates them.
+/// @brief A stage of a task, measured by the leader's clock.
 enum class task_stage : std::uint8_t
 {
-    queued,       // from the step's readiness until the first grant
-    start_record, // from the grant until it is committed
-    start_order,  // from the commit until the worker confirms the start
+    queued,       // from the readiness of the step to the first grant
+    start_record, // from the grant to its commit
+    start_order,  // from the commit to the worker's confirmation of the start
     run,          // from the confirmation until the leader has read the end
-    end_record,   // from reading the end until it is committed
+    end_record,   // from reading the end to its commit
 };
 inline constexpr std::size_t task_stage_count = 5;
 
-/// @brief The name, for log lines.
+/// @brief The name for log lines.
 [[nodiscard]] std::string_view to_string(task_stage value) noexcept;
 
-/// @brief Delays of one window of time.
+/// @brief Delays of the current report window, and running means over recent tasks.
 class stage_delays
 {
   public:
     void record(work_kind kind, task_stage stage, duration took);
 
-    /// @brief Mean and 95th percentile of each stage, in ms; stages without samples are left out.
+    /// @brief Mean and 95th percentile of each stage in ms; omits stages without samples.
     [[nodiscard]] logging::event to_event();
 
     void clear() noexcept;
 
-    /// @brief Mean time from the grant to the commit of the end, less the run, of recent tasks; in ms.
+    /// @brief Mean time from the grant to the commit of the end, without the run itself, of recent tasks; in
+    /// ms.
     /// @return 0 before the first task
     [[nodiscard]] double overhead_ms(work_kind kind) const noexcept;
 
@@ -48,7 +49,7 @@
     struct recent_mean
     {
         double ms = 0;
-        double weight = 20; // of the 0 at the start: a single slow record says little
+        double weight = 20; // of the initial 0, so that a single slow record has little effect
     };
     using samples = std::vector<std::int64_t>; // in microseconds
     std::array<std::array<samples, task_stage_count>, work_kind_count> samples_{};
--- a/include/plumspoke/dispatch/step_duration_predictor.hpp
+++ b/include/plumspoke/dispatch/step_duration_predictor.hpp
@@ -1,14 +1,14 @@
 #pragma once
 
 /// @file
-/// @brief Learns how long the steps of a queue take, and how much their submitters' guesses are worth.
+/// @brief Predicts step durations per queue from past steps and the submitters' estimates.
 ///
-/// Load that it answers: more work than the workers can take. Then it has to be known which jobs can still be
-/// in time; by guesses that are off by a factor of two and more, jobs that are late already go first.
+/// Under overload the scheduler has to know which jobs can still meet their objective. With estimates that
+/// are off by a factor of two or more, jobs that are already late would be preferred.
 ///
-/// Logarithms of the guess and of the time are regressed on each other, by queue: guesses that say nothing
-/// come out as the mean of the queue, good ones as they are. Until some steps have been seen the guess
-/// counts.
+/// The logarithm of the duration is regressed on that of the estimate per queue: uninformative estimates
+/// yield the mean of the queue, accurate ones are used as they are. The estimate alone counts until some
+/// steps have ended.
 
 #include <cstdint>
 #include <map>
@@ -17,28 +17,28 @@
 namespace plumspoke::dispatch
 {
 
-/// @brief Times of the steps that ended, by queue.
+/// @brief Statistics of ended steps by queue.
 class step_duration_predictor
 {
   public:
-    /// @brief Takes one ended step in.
+    /// @brief Adds an ended step.
     /// @param estimate_ms the submitter's estimate; 0: none
-    /// @param took_ms how long its longest task ran
+    /// @param took_ms duration of its longest task
     void observe(const std::string& queue, std::uint32_t estimate_ms, double took_ms);
 
-    /// @brief How long the longest task of a step will run, in ms.
+    /// @brief Predicted duration of the longest task of a step, in ms.
     /// @complexity Logarithmic in the number of queues.
     [[nodiscard]] double predict_ms(const std::string& queue, std::uint32_t estimate_ms) const;
 
   private:
-    /// @brief Moments of logarithms, with old steps fading.
+    /// @brief Exponentially weighted moments of the logarithms of estimates and durations.
     struct moments
     {
         double weight = 0;
         double mean_estimate = 0;
         double mean_duration = 0;
-        double estimate_variance = 0; // about the mean
-        double covariance = 0;        // about both means
+        double estimate_variance = 0;
+        double covariance = 0;
     };
     std::map<std::string, moments> queues_;
 };
--- a/include/plumspoke/dispatch/worker_clock.hpp
+++ b/include/plumspoke/dispatch/worker_clock.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief What is known of a worker's clock: a bound that is never ahead of it.
+/// @brief A lower bound on a worker's clock.
 
 #include "plumspoke/time/time.hpp"
 
@@ -10,16 +10,16 @@
 namespace plumspoke::dispatch
 {
 
-/// @brief Bounds another machine's steady clock, which may run slow.
+/// @brief Lower bound on the steady clock of another machine, which may run slow.
 class worker_clock
 {
   public:
-    /// @param slowest the least that the clock moves for one second of ours, such as 0.98
+    /// @param slowest the slowest rate of that clock relative to ours, such as 0.98
     explicit worker_clock(double slowest) noexcept : slowest_(slowest)
     {
     }
 
-    /// @brief Takes a reading that came with an answer.
+    /// @brief Adds a reading that came with an answer.
     void observe(std::int64_t clock_ms, time_point received_at) noexcept;
 
     [[nodiscard]] bool known() const noexcept
@@ -27,10 +27,10 @@
         return received_at_.has_value();
     }
 
-    /// @brief A time that the clock has reached by `now`.
+    /// @brief A time that the clock has certainly reached by `now`.
     [[nodiscard]] std::int64_t lower_bound(time_point now) const noexcept;
 
-    /// @brief From when on the clock has surely passed `clock_ms`.
+    /// @brief The time from which on the clock has certainly passed `clock_ms`.
     [[nodiscard]] time_point certainly_past(std::int64_t clock_ms) const noexcept;
 
   private:
--- a/include/plumspoke/dispatch/worker_view.hpp
+++ b/include/plumspoke/dispatch/worker_view.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief What a leader knows of one worker's life and of one run: soft state, lost with its term.
+/// @brief A leader's view of one worker's life and of one run: soft state, discarded with its term.
 
 #include "plumspoke/dispatch/interference.hpp"
 #include "plumspoke/dispatch/orders.hpp"
@@ -18,33 +18,33 @@
 namespace plumspoke::dispatch
 {
 
-/// @brief How far a run has come, as far as this leader knows.
+/// @brief The stage of a run as known to this leader.
 enum class run_stage : std::uint8_t
 {
-    proposed,  // its record is not committed yet; no order was sent
+    proposed,  // its record is not committed yet, and no order was sent
     ordered,   // an order was sent
     running,   // the worker has confirmed it
     inherited, // an earlier leader may have ordered it
     ending,    // its end is being recorded
 };
 
-/// @brief Links a run into a list; a run that is removed leaves its lists by itself.
+/// @brief Links a run into a list; destroying the run unlinks it.
 using run_hook =
     boost::intrusive::list_member_hook<boost::intrusive::link_mode<boost::intrusive::auto_unlink>>;
 
-/// @brief What is known of the tasks of one step of a job, over all its occurrences.
+/// @brief Statistics of the tasks of one step of a job over all its occurrences.
 struct step_stats : boost::intrusive_ref_counter<step_stats, boost::thread_unsafe_counter>
 {
     int done = 0;
-    double mean_ms = 0;       // how long its finished tasks took
-    double longest_ms = 0;    // the longest of them
-    time_point last_end_at{}; // when the last record of an end was committed
-    double sibling_slack = 0; // what its least disturbed serving tasks have now
-    double own_slack = 0;     // what its serving tasks would have with no filler beside them
+    double mean_ms = 0;       // of the durations of its finished tasks
+    double longest_ms = 0;    // of these durations
+    time_point last_end_at{}; // when the latest record of an end was committed
+    double sibling_slack = 0; // current slack of its least disturbed serving tasks
+    double own_slack = 0;     // slack that its serving tasks would have without fillers beside them
     bool has_calm_siblings =
-        false; // some have none beside them now: both figures are measured, not estimated
-    // Of its serving tasks, while the figures above are computed: measured, without the known effects of the
-    // fillers beside them, and of those that have none beside them.
+        false; // some have no fillers beside them, so both figures above are measured, not estimated
+    // Slacks of its serving tasks from which the figures above are computed: as measured, without the known
+    // effects of the fillers beside them, and of those without fillers beside them.
     std::vector<double> slacks;
     std::vector<double> own_slacks;
     std::vector<double> calm_slacks;
@@ -56,7 +56,7 @@
 struct run_view
 {
     run_hook worker_hook;     // in worker_view::runs
-    run_hook actionable_hook; // in the list of runs that may need an order
+    run_hook actionable_hook; // in dispatcher::actionable_
 
     jobs::run_name name;
     fleet::worker_life worker;
@@ -68,8 +68,8 @@
     bool gang = false;
     std::uint32_t tail_target_ms = 0;
     std::string queue;
-    std::uint32_t estimate_ms = 0; // the submitter's guess
-    std::uint32_t step_tasks = 0;  // of its step
+    std::uint32_t estimate_ms = 0; // the submitter's estimate; 0: none
+    std::uint32_t step_tasks = 0;  // number of tasks in its step
     std::string image;
     image_number image_id = 0;
     bool copies_allowed = false;
@@ -77,13 +77,13 @@
     worker_view* on = nullptr; // outlives the run
     boost::intrusive_ptr<step_stats> siblings;
 
-    bool start_unanswered = false; // a start order may still take effect
+    bool start_unanswered = false; // a start order without an answer may still take effect
     bool start_in_flight = false;
-    bool survived_start = false; // its worker has listed it long after a crash by its start
+    bool survived_start = false; // listed by its worker later than a crash caused by its start
     int starts_sent = 0;
-    jobs::crash_evidence evidence; // of its task, as of the record
+    jobs::crash_evidence evidence; // of its task when the run was recorded
     time_point next_start_at{};
-    time_point confirmed_at{}; // when the worker last confirmed that it is there
+    time_point confirmed_at{}; // when the worker last confirmed that it runs
 
     bool stop_wanted = false;
     bool stop_in_flight = false;
@@ -91,28 +91,28 @@
     time_point first_stop_at{};
     time_point next_stop_at{};
     std::optional<time_point> stop_acknowledged_at;
-    bool stop_unconfirmed = false; // acknowledged, and no poll has told of its effect: to be sent again
+    bool stop_unconfirmed = false; // acknowledged, but no poll has shown its effect: to be sent again
     jobs::run_end end_if_absent = jobs::run_end::stopped;
     jobs::crash_sign pending_crash_sign =
-        jobs::crash_sign::none; // of an earlier life that it may have begun on
+        jobs::crash_sign::none; // sign for its end, from an earlier life on which it may have begun
 
-    time_point added_at{}; // at the last decision before it was proposed or taken over
+    time_point added_at{}; // time of the last decision before it was proposed or taken over
     time_point granted_at{};
-    time_point recorded_at{}; // when its record was committed, or taken over
+    time_point recorded_at{}; // when its record was committed or taken over
     time_point started_at{};
     time_point end_read_at{};
     std::int64_t percent = 0;
-    time_point progress_at{}; // when the percent last grew
+    time_point progress_at{}; // when the percentage last increased
     std::int64_t first_percent = -1;
     time_point first_percent_at{};
     std::string saved;
     std::int64_t measured = 0;
 
-    std::uint32_t pace_percent = 100; // as last acknowledged
+    std::uint32_t pace_percent = 100; // as last acknowledged by the worker
     std::uint32_t wanted_pace = 100;
-    bool inherited = false; // begun under an earlier leader
+    bool inherited = false; // recorded under an earlier leader
     bool pace_in_flight = false;
-    bool pace_unknown = false; // an earlier leader may have set another one
+    bool pace_unknown = false; // an earlier leader may have set another pace
     time_point next_pace_at{};
     time_point slowed_since{};                   // when it was last slowed from a working pace
     std::optional<time_point> over_target_since; // of a serving run
@@ -130,7 +130,7 @@
                            boost::intrusive::member_hook<run_view, run_hook, &run_view::actionable_hook>,
                            boost::intrusive::constant_time_size<false>>;
 
-/// @brief A proposed run of one task of a step, with what the dispatcher needs to know of the step.
+/// @brief Makes a proposed run of one task with the properties of its step.
 [[nodiscard]] run_view
 make_run_view(const jobs::run_name& name, const fleet::worker_life& worker, const jobs::job& job);
 
@@ -144,66 +144,67 @@
     fleet::announcement info;
     time_point announced_at{};
     worker_runs runs;
-    std::uint64_t changed = 0; // the dispatcher's count when last something changed that a placement looks at
+    std::uint64_t changed =
+        0; // the dispatcher's change counter at the last change that is relevant to placement
     runs_digest digest;
-    bool held = false;    // its room is kept for urgent tasks, as of the last placement
-    bool granted = false; // the present placement has given it a task
+    bool held = false;    // its room is reserved for urgent tasks, as of the last placement
+    bool granted = false; // the current placement has granted it a task
     jobs::room used;      // without the processors of fillers
     std::int64_t filler_cpu_milli = 0;
-    std::int64_t serving_cpu_milli = 0; // reserved; what serves uses a part of it
+    std::int64_t serving_cpu_milli = 0; // reserved by serving tasks, which use a part of it
     std::int64_t lasting_cpu_milli = 0; // reserved by lasting tasks, serving or not
 
     worker_clock clock;
-    std::int64_t lease_sent_ms = 0; // the latest time on the worker's clock that any of our orders named
-    time_point lease_sent_at{};     // when the latest order with a lease was handed out
-    time_point first_lease_at{};    // when the first order of this term with a lease was handed out
-    duration max_lease_gap{};       // longest between two such orders since it last answered a poll
+    std::int64_t lease_sent_ms = 0; // latest lease end in any of our orders, on the worker's clock
+    time_point lease_sent_at{};     // when the latest order with a lease was sent
+    time_point first_lease_at{};    // when the first order with a lease was sent in this term
+    duration max_lease_gap{};       // longest interval between two such orders since the last answered poll
     time_point answered_at{};       // when it last answered
-    time_point poll_sent_at{};      // when the latest poll was handed out
+    time_point poll_sent_at{};      // when the latest poll was sent
     time_point next_poll_at{};
     std::uint64_t ends_recorded = 0;
     std::uint64_t ends_proposed = 0;
-    std::uint64_t ends_acknowledged = 0; // the worker has been told that these are noted
+    std::uint64_t ends_acknowledged = 0; // the worker has been told that these are recorded
 
-    double failure_score = 0; // grows with failures and standstills there, shrinks with successes
+    double failure_score = 0; // increases with failures and stalls, decreases with successes
     std::set<jobs::job_id> failing_jobs;
     time_point set_aside_until{};
     std::uint64_t tasks_done = 0;
     time_point no_room_until{};
-    std::optional<time_point> departs_at; // it has said goodbye: nothing of it runs from then on
+    std::optional<time_point> departs_at; // it announced that it leaves; nothing runs there from this time on
     time_point pace_changed_at{};
 
     bool announced = false;          // false: known only from recorded runs
     bool contacted = false;          // it has answered this leader, so older fencing tokens have no effect
-    bool has_inherited_runs = false; // until contacted: runs of an earlier leader may be leased
+    bool has_inherited_runs = false; // runs of an earlier leader may hold a lease until it is contacted
     bool poll_in_flight = false;
-    bool life_ended = false; // it crashed or left: what is told late changes nothing
+    bool life_ended = false; // it crashed or left; late messages of it are ignored
     int serving_runs = 0;
     int suspects = 0;          // runs of tasks under which a worker has crashed
-    int critical_suspects = 0; // of these, runs of tasks of which one more crash is enough
-    int unanswered_calls = 0;  // in a row
+    int critical_suspects = 0; // of these, runs of tasks that are given up after one more blamed crash
+    int unanswered_calls = 0;  // consecutive
     int times_set_aside = 0;
 };
 
-/// @brief Whether a worker has crashed under an earlier run of its task.
+/// @brief Whether a worker has crashed during an earlier run of the task.
 [[nodiscard]] constexpr bool is_suspect(const jobs::crash_evidence& evidence) noexcept
 {
     return evidence.crashes > 0;
 }
 
-/// @brief Whether one more crash that nothing else explains would be enough to give the task up.
+/// @brief Whether one more crash without another explanation would make the task be given up.
 [[nodiscard]] constexpr bool is_critical_suspect(const jobs::crash_evidence& evidence) noexcept
 {
     return evidence.blamed + 1 >= jobs::crash_evidence::most_blamed;
 }
 
-/// @brief Whether its worker has told this leader that the run has begun.
+/// @brief Whether the worker has confirmed to this leader that the run has begun.
 [[nodiscard]] inline bool was_confirmed(const run_view& run) noexcept
 {
     return run.confirmed_at != time_point{};
 }
 
-/// @brief How the contact with a worker stands, for log lines.
+/// @brief A copy of the state of the contact with a worker, for log lines.
 struct contact_snapshot
 {
     time_point answered_at{};
--- a/src/dispatch/answers.cpp
+++ b/src/dispatch/answers.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief What a worker's answers tell about its runs.
+/// @brief Handling of workers' answers: contact, running and ended runs, results of orders.
 
 #include "plumspoke/dispatch/dispatcher.hpp"
 #include "repeated_failure_weight.hpp"
@@ -13,24 +13,27 @@
 namespace
 {
 
-constexpr auto commit_timeout = milliseconds(400);  // for the record of ends; then the worker is asked again
-constexpr auto unhealthy_pause = milliseconds(500); // an unhealthy worker is asked again after this
-constexpr auto no_room_pause = milliseconds(150);   // a stop's room comes free within its time limit
-constexpr auto initial_pause = milliseconds(50);    // before a silent worker is asked again; doubles
+constexpr auto commit_timeout =
+    milliseconds(400); // for the record of ends to commit; then the worker is polled again
+constexpr auto unhealthy_pause = milliseconds(500); // no starts for an unhealthy worker
+constexpr auto no_room_pause =
+    milliseconds(150); // room of a stopped run is released within the stop's time limit
+constexpr auto initial_pause =
+    milliseconds(50); // before a silent worker is polled again; doubles with each unanswered poll
 constexpr int max_pause_doublings = 3;
-constexpr auto stop_timeout = milliseconds(1200); // a stop takes 900 ms at most, and a poll its way
-constexpr double success_decay = 0.5;             // of a worker's blame that is left after a success
+constexpr auto stop_timeout = milliseconds(1200); // a stop takes at most 900 ms; the rest allows for the poll
+constexpr double success_decay = 0.5;             // factor on a worker's failure score after a success
 
-bool lists_run(const worker_answer& got, const jobs::run_name& name)
+bool lists_run(const worker_answer& answer, const jobs::run_name& name)
 {
-    return std::any_of(got.running.begin(),
-                       got.running.end(),
+    return std::any_of(answer.running.begin(),
+                       answer.running.end(),
                        [&name](const running_row& row)
                        {
                            return row.name == name;
                        }) ||
-           std::any_of(got.finished.begin(),
-                       got.finished.end(),
+           std::any_of(answer.finished.begin(),
+                       answer.finished.end(),
                        [&name](const finished_row& row)
                        {
                            return row.name == name;
@@ -39,7 +42,7 @@
 
 } // namespace
 
-void dispatcher::answered(time_point now, const sent_order& sent, const worker_answer& got)
+void dispatcher::answered(time_point now, const sent_order& sent, const worker_answer& answer)
 {
     if (!leading())
     {
@@ -48,63 +51,64 @@
     std::visit(
         [&](const auto& one)
         {
-            on(now, one, sent.sent_at, got);
+            on(now, one, sent.sent_at, answer);
         },
         sent.what);
 }
 
-worker_view* dispatcher::record_contact(time_point now, const recipient& to, const worker_answer& got)
+worker_view* dispatcher::record_contact(time_point now, const recipient& to, const worker_answer& answer)
 {
     worker_view* worker = find_worker(to.worker);
     if (worker == nullptr)
     {
         return nullptr;
     }
-    if (got.how == reply::other_life)
+    if (answer.how == reply::other_life)
     {
-        const bool told = got.born_ms.has_value();
+        const bool is_identified = answer.born_ms.has_value();
         end_life(now,
                  *worker,
                  life_end_cause::crash,
-                 told ? std::optional(fleet::worker_life{to.worker.id, *got.born_ms}) : std::nullopt);
+                 is_identified ? std::optional(fleet::worker_life{to.worker.id, *answer.born_ms})
+                               : std::nullopt);
         return nullptr;
     }
-    if (got.how == reply::none)
+    if (answer.how == reply::none)
     {
         return worker;
     }
-    if (got.clock_ms.has_value())
+    if (answer.clock_ms.has_value())
     {
-        worker->clock.observe(*got.clock_ms, now);
+        worker->clock.observe(*answer.clock_ms, now);
     }
     worker->answered_at = now;
     return worker;
 }
 
-void dispatcher::handle_other_life(time_point now, const recipient& asked, const worker_answer& got)
+void dispatcher::handle_other_life(time_point now, const recipient& asked, const worker_answer& answer)
 {
     if (asked.worker.born_ms == 0)
     {
-        resolve_unnamed_life(asked, {asked.worker.id, *got.born_ms});
+        resolve_unnamed_life(asked, {asked.worker.id, *answer.born_ms});
         return;
     }
-    // A connection finds this out by itself, and sends nothing; whoever has none learns it here.
+    // A connection detects another life itself and sends nothing; callers without one learn of it here.
     worker_answer other;
     other.how = reply::other_life;
-    other.born_ms = got.born_ms;
+    other.born_ms = answer.born_ms;
     (void)record_contact(now, asked, other);
 }
 
-// A record or a relay of an older release names no time of birth. Whoever answers to that id lists what is
-// its own; what it doesn't list ends as that of a worker without an earlier life.
-void dispatcher::resolve_unnamed_life(const recipient& asked, const fleet::worker_life& told)
+// Records and relays of older releases contain no birth time. The life that answers under that id lists its
+// own runs; runs that it doesn't list end like those of a worker without an earlier life.
+void dispatcher::resolve_unnamed_life(const recipient& asked, const fleet::worker_life& named_life)
 {
     worker_view* unnamed = find_worker(asked.worker);
     if (unnamed == nullptr)
     {
         return;
     }
-    worker_view& worker = find_or_register_worker(told, asked.address);
+    worker_view& worker = find_or_register_worker(named_life, asked.address);
     worker.has_inherited_runs = worker.has_inherited_runs || unnamed->has_inherited_runs;
     run_names all;
     for (const run_view& run : unnamed->runs)
@@ -113,7 +117,7 @@
     }
     for (const jobs::run_name& name : all)
     {
-        move_to_life(name, told);
+        move_to_life(name, named_life);
     }
     unnamed->poll_in_flight = false;
     unnamed->announced = false;
@@ -128,7 +132,7 @@
         const time_point last_heard = std::max(other->announced_at, other->answered_at);
         if (other->info.life.born_ms == 0)
         {
-            resolve_unnamed_life(recipient_of(*other), worker.info.life); // it may well be the same life
+            resolve_unnamed_life(recipient_of(*other), worker.info.life); // it may be the same life
         }
         else if (!other->life_ended && last_heard <= sent_at)
         {
@@ -137,25 +141,25 @@
     }
 }
 
-// ---- holds -------------------------------------------------------------------------------------
+// ---- polls -------------------------------------------------------------------------------------
 
-void dispatcher::on(time_point now, const poll_order& sent, time_point sent_at, const worker_answer& got)
+void dispatcher::on(time_point now, const poll_order& sent, time_point sent_at, const worker_answer& answer)
 {
     const std::int64_t asked_born_ms = sent.to.worker.born_ms;
-    if (got.how == reply::done && got.born_ms.value_or(asked_born_ms) != asked_born_ms)
+    if (answer.how == reply::done && answer.born_ms.value_or(asked_born_ms) != asked_born_ms)
     {
-        handle_other_life(now, sent.to, got);
+        handle_other_life(now, sent.to, answer);
         return;
     }
     const worker_view* asked = find_worker(sent.to.worker);
     const contact_snapshot before = asked == nullptr ? contact_snapshot() : make_contact_snapshot(*asked);
-    worker_view* worker = record_contact(now, sent.to, got);
+    worker_view* worker = record_contact(now, sent.to, answer);
     if (worker == nullptr || (worker->life_ended && worker->info.life.born_ms != 0))
     {
-        return; // an answer that was on its way as the next life answered
+        return; // an answer that was in flight when the next life answered
     }
     worker->poll_in_flight = false;
-    if (got.how != reply::done)
+    if (answer.how != reply::done)
     {
         ++counts_.polls_unanswered;
         worker->next_poll_at =
@@ -168,7 +172,7 @@
             events_.push_back(logging::event("dispatch", "worker_silent", "A worker doesn't answer.")
                                   .with("worker", worker->info.life.id)
                                   .with("born_ms", worker->info.life.born_ms)
-                                  .with("answer", to_string(got.how))
+                                  .with("answer", to_string(answer.how))
                                   .with("runs", static_cast<std::int64_t>(worker->runs.size())));
         }
         return;
@@ -185,21 +189,21 @@
     worker->contacted = true;
     worker->ends_acknowledged = std::max(worker->ends_acknowledged, sent.ends_recorded);
     worker->next_poll_at = now;
-    mark_changed(*worker); // its tasks' slack
+    mark_changed(*worker); // the slack of its tasks
     worker->max_lease_gap = {};
-    apply_finished(now, *worker, before, got);
-    apply_running(now, sent_at, *worker, got);
-    detect_missing_runs(now, *worker, sent_at, got);
+    apply_finished(now, *worker, before, answer);
+    apply_running(now, sent_at, *worker, answer);
+    detect_missing_runs(now, *worker, sent_at, answer);
     watch_pace(now, *worker);
-    mark_changed(*worker); // its fillers' paces
+    mark_changed(*worker); // the paces of its fillers
 }
 
 void dispatcher::apply_running(time_point now,
                                time_point sent_at,
                                worker_view& worker,
-                               const worker_answer& got)
+                               const worker_answer& answer)
 {
-    for (const running_row& row : got.running)
+    for (const running_row& row : answer.running)
     {
         run_view* run = find_run_on(worker, row.name);
         if (run == nullptr || run->stage != run_stage::running)
@@ -220,11 +224,11 @@
         }
         run->start_unanswered = false;
         run->confirmed_at = now;
-        // By when the poll was sent: answers may wait here for a leader that is late.
+        // Measured from the sending of the poll, since answers may be queued while the leader is late.
         run->survived_start = run->survived_start || sent_at >= run->started_at + options_.start_crash_window;
         if (run->stop_acknowledged_at.has_value() && now > *run->stop_acknowledged_at + stop_timeout)
         {
-            run->stop_acknowledged_at.reset(); // an acknowledgement is not yet the end
+            run->stop_acknowledged_at.reset(); // an acknowledgement is not yet the end of the run
             track_if_actionable(*run);
         }
         if (row.percent > run->percent)
@@ -245,11 +249,12 @@
 void dispatcher::apply_finished(time_point now,
                                 worker_view& worker,
                                 const contact_snapshot& before,
-                                const worker_answer& got)
+                                const worker_answer& answer)
 {
-    for (const finished_row& row : got.finished)
+    for (const finished_row& row : answer.finished)
     {
-        // By its run, not by its number: passed over as read, an end would hold its task back for ever.
+        // Matched by run, not by number: an end that is skipped as already read would block its task for
+        // ever.
         run_view* run = find_run_on(worker, row.name);
         if (row.number > worker.ends_proposed)
         {
@@ -259,7 +264,7 @@
         }
         if (run == nullptr || run->worker != worker.info.life || run->stage == run_stage::ending)
         {
-            continue; // recorded already, or written off after its lease had lapsed
+            continue; // already recorded, or ended after its lease had lapsed
         }
         update_failure_score(now, worker, *run, row.how);
         if (row.how == jobs::run_end::lapsed)
@@ -271,7 +276,7 @@
     }
 }
 
-// A stop that came before its start may be listed as an end too: nothing has begun then.
+// A stop that arrived before its start may also be listed as an end; nothing has begun then.
 void dispatcher::record_finished_start(time_point now, const finished_row& row, const run_view* run)
 {
     const bool was_listed = run != nullptr && was_confirmed(*run);
@@ -280,30 +285,32 @@
         note_begun(now, row.name);
         return;
     }
-    events_.push_back(
-        logging::event("dispatch", "stopped_unstarted", "A run was stopped that no answer had confirmed.")
-            .with("job", row.name.task.job)
-            .with("step", row.name.task.step)
-            .with("index", row.name.task.index)
-            .with("attempt", row.name.attempt)
-            .with("known", run == nullptr ? 0 : 1));
+    events_.push_back(logging::event("dispatch",
+                                     "stopped_unstarted",
+                                     "A run was stopped before any answer had confirmed it.")
+                          .with("job", row.name.task.job)
+                          .with("step", row.name.task.step)
+                          .with("index", row.name.task.index)
+                          .with("attempt", row.name.attempt)
+                          .with("known", run == nullptr ? 0 : 1));
 }
 
 void dispatcher::detect_missing_runs(time_point now,
                                      worker_view& worker,
                                      time_point sent_at,
-                                     const worker_answer& got)
+                                     const worker_answer& answer)
 {
     for (run_view& run : worker.runs)
     {
-        if (run.stage == run_stage::proposed || run.stage == run_stage::ending || lists_run(got, run.name))
+        if (run.stage == run_stage::proposed || run.stage == run_stage::ending || lists_run(answer, run.name))
         {
             continue;
         }
         const bool is_fenced = run.stop_acknowledged_at.has_value() && *run.stop_acknowledged_at <= sent_at;
         if (run.stage == run_stage::inherited || is_fenced)
         {
-            // Orders of earlier leaders have no effect since this answer; a stopped run is rejected.
+            // From this answer on, orders of earlier leaders have no effect, and starts of a stopped run are
+            // rejected.
             const jobs::run_end how =
                 run.stage == run_stage::inherited ? jobs::run_end::not_begun : run.end_if_absent;
             end_run(now, run, how, run.saved);
@@ -312,7 +319,7 @@
         const bool confirmed_before = run.stage == run_stage::running && run.confirmed_at < sent_at;
         if (confirmed_before && !run.stop_wanted)
         {
-            // It was there and is gone without an end: shut it out before anything else is done.
+            // It was running and is missing without an end: fence it before its task is started elsewhere.
             fence_run(now, run, jobs::run_end::lost);
         }
     }
@@ -320,13 +327,16 @@
 
 // ---- starts, stops, paces ----------------------------------------------------------------------
 
-void dispatcher::on(time_point now, const start_order& sent, time_point /*sent_at*/, const worker_answer& got)
+void dispatcher::on(time_point now,
+                    const start_order& sent,
+                    time_point /*sent_at*/,
+                    const worker_answer& answer)
 {
-    if (got.how == reply::done)
+    if (answer.how == reply::done)
     {
         note_begun(now, sent.name);
     }
-    worker_view* worker = record_contact(now, sent.to, got);
+    worker_view* worker = record_contact(now, sent.to, answer);
     run_view* run = find_run(sent.name);
     if (worker == nullptr || run == nullptr || run->worker != sent.to.worker)
     {
@@ -337,7 +347,7 @@
     {
         return;
     }
-    switch (got.how)
+    switch (answer.how)
     {
     case reply::done:
         handle_accepted_start(now, *worker, *run);
@@ -367,7 +377,7 @@
         ++counts_.starts_rejected_other;
         break;
     }
-    handle_rejected_start(now, *worker, *run, got.how);
+    handle_rejected_start(now, *worker, *run, answer.how);
 }
 
 void dispatcher::handle_accepted_start(time_point now, worker_view& on, run_view& run)
@@ -397,11 +407,11 @@
     run.next_start_at = now + options_.order_retry;
     if (run.starts_sent >= options_.max_starts && run.stage == run_stage::ordered)
     {
-        fence_run(now, run, jobs::run_end::not_begun); // the task goes elsewhere once that is done
+        fence_run(now, run, jobs::run_end::not_begun); // the task is started elsewhere once the run is fenced
     }
 }
 
-// What is known of the worker's clock may stay wrong: then each lease is over before it arrives.
+// The bound on the worker's clock may remain wrong, so that each lease has expired before it arrives.
 void dispatcher::handle_expired_start(time_point now, run_view& run)
 {
     run.next_start_at = now + options_.order_retry;
@@ -413,7 +423,7 @@
 
 void dispatcher::handle_rejected_start(time_point now, worker_view& on, run_view& run, reply how)
 {
-    events_.push_back(logging::event("dispatch", "start_rejected", "A worker has rejected a start.")
+    events_.push_back(logging::event("dispatch", "start_rejected", "A worker has rejected a start order.")
                           .with("job", run.name.task.job)
                           .with("step", run.name.task.step)
                           .with("index", run.name.task.index)
@@ -437,16 +447,19 @@
     track_if_actionable(run);
 }
 
-void dispatcher::on(time_point now, const stop_order& sent, time_point /*sent_at*/, const worker_answer& got)
+void dispatcher::on(time_point now,
+                    const stop_order& sent,
+                    time_point /*sent_at*/,
+                    const worker_answer& answer)
 {
-    worker_view* worker = record_contact(now, sent.to, got);
+    worker_view* worker = record_contact(now, sent.to, answer);
     run_view* run = find_run(sent.name);
     if (worker == nullptr || run == nullptr)
     {
         return;
     }
     run->stop_in_flight = false;
-    if (got.how == reply::done)
+    if (answer.how == reply::done)
     {
         run->stop_acknowledged_at = run->stop_acknowledged_at.value_or(now);
         if (worker->ends_proposed == worker->ends_recorded)
@@ -456,20 +469,23 @@
     }
 }
 
-void dispatcher::on(time_point now, const pace_order& sent, time_point /*sent_at*/, const worker_answer& got)
+void dispatcher::on(time_point now,
+                    const pace_order& sent,
+                    time_point /*sent_at*/,
+                    const worker_answer& answer)
 {
-    (void)record_contact(now, sent.to, got);
+    (void)record_contact(now, sent.to, answer);
     run_view* run = find_run(sent.name);
     if (run == nullptr)
     {
         return;
     }
     run->pace_in_flight = false;
-    if (got.how == reply::done)
+    if (answer.how == reply::done)
     {
         run->pace_percent = sent.percent;
         run->pace_unknown = false;
-        run->progress_at = now; // its speed from before says nothing any more
+        run->progress_at = now; // progress at the previous pace is no longer comparable
         return;
     }
     run->next_pace_at = now + options_.order_retry;
@@ -504,7 +520,7 @@
     return was_confirmed(run) && run.confirmed_at >= run.started_at + options_.min_stable_run;
 }
 
-// The first setback is answered at once: mostly it was the worker's.
+// The first failure causes no pause, since mostly the worker is at fault.
 void dispatcher::update_backoff(time_point now, const run_view& ended, jobs::run_end how)
 {
     if (was_stable(ended) || how == jobs::run_end::done)
@@ -551,10 +567,10 @@
     }
     const bool ran_long =
         was_confirmed(run) && run.confirmed_at >= run.started_at + options_.crash_clearing_run;
-    const jobs::crash_sign told = ran_long ? jobs::crash_sign::cleared : sign;
-    pending_ends_.push_back({run.name, how, saved, told});
+    const jobs::crash_sign recorded_sign = ran_long ? jobs::crash_sign::cleared : sign;
+    pending_ends_.push_back({run.name, how, saved, recorded_sign});
     jobs::crash_evidence evidence = run.evidence;
-    evidence.note(told);
+    evidence.note(recorded_sign);
     if (evidence.suffices())
     {
         ++counts_.tasks_given_up;
@@ -605,13 +621,14 @@
     }
     worker.times_set_aside = std::min(worker.times_set_aside + 1, 3);
     worker.set_aside_until = now + options_.set_aside * worker.times_set_aside;
-    worker.failure_score = options_.failure_score_limit / 2; // on its return one more failure is enough
+    worker.failure_score = options_.failure_score_limit / 2; // after its return one more failure is enough
     ++counts_.workers_set_aside;
-    events_.push_back(
-        logging::event("dispatch", "worker_set_aside", "Nothing is placed on a worker for a while.")
-            .with("worker", worker.info.life.id)
-            .with("reason", why)
-            .with("times", worker.times_set_aside));
+    events_.push_back(logging::event("dispatch",
+                                     "worker_set_aside",
+                                     "A worker is set aside: no tasks are placed there for a while.")
+                          .with("worker", worker.info.life.id)
+                          .with("reason", why)
+                          .with("times", worker.times_set_aside));
 }
 
 } // namespace plumspoke::dispatch
--- a/src/dispatch/bookkeeping.cpp
+++ b/src/dispatch/bookkeeping.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Which runs are on which worker, and the room that they take there.
+/// @brief Lookup of runs and workers, and the room that runs use on their workers.
 
 #include "plumspoke/dispatch/dispatcher.hpp"
 
@@ -16,7 +16,7 @@
     return found == runs_.end() ? nullptr : &found->second;
 }
 
-// Among the few runs of a worker a name is found with fewer comparisons than among all.
+// A search among the few runs of a worker needs fewer comparisons than one among all runs.
 run_view* dispatcher::find_run_on(worker_view& worker, const jobs::run_name& name) noexcept
 {
     const auto found = std::find_if(worker.runs.begin(),
@@ -76,7 +76,7 @@
 
 void dispatcher::move_to_life(const jobs::run_name& name, const fleet::worker_life& next)
 {
-    run_view moved = runs_.at(name); // in no list
+    run_view moved = runs_.at(name); // a copy, linked into no list
     moved.worker = next;
     remove_run(name);
     add_run(std::move(moved));
--- a/src/dispatch/crashes.cpp
+++ b/src/dispatch/crashes.cpp
@@ -1,15 +1,15 @@
 /// @file
-/// @brief Workers whose life is over: which of the tasks there a crash is blamed on, and where a suspect
-/// runs.
+/// @brief Ended lives of workers: which tasks a crash is attributed to, and isolation of suspects.
 ///
-/// A crash takes all runs of a worker along, and one of them at most is its cause. What sets it apart:
-/// - a task that was blamed before is blamed alone; those beside it are not;
-/// - a run is not blamed that its worker hasn't confirmed to this leader;
-/// - nobody is blamed where the address crashed before in the last minute, or a fifth of all workers at once;
-///   of a widespread crash a run isn't even counted that its worker had listed long after the start.
-///   One whose start was never answered is counted: a worker that crashes by it often doesn't answer;
-/// - suspects are kept apart from each other and from addresses that crashed, so that a second crash tells
-///   which of them it followed.
+/// A crash ends all runs of a worker, and at most one of them is its cause. Rules of attribution:
+/// - A task that was blamed before is blamed alone; the tasks beside it are not.
+/// - A run that its worker hasn't confirmed to this leader is not blamed.
+/// - No task is blamed if the address has crashed within the last minute, or if more than a fifth of all
+///   workers crash at once. In such a widespread crash, a run that its worker has listed long after the start
+///   is not even counted. A run whose start was never answered is counted, since a worker that crashes by a
+///   start often doesn't answer it.
+/// - Suspects are separated from each other and from crashed addresses, so that a second crash identifies the
+///   task that it followed.
 
 #include "plumspoke/dispatch/dispatcher.hpp"
 
@@ -21,16 +21,17 @@
 namespace
 {
 
-// For the choice of a suspect's worker, in thousandths of a core as all points; each more than the
-// differences in free processors on a worker of 64.
+// Costs in the choice of a suspect's worker, in thousandths of a core like all scores. Each exceeds the
+// differences in free processors between workers of 64 cores.
 constexpr double beside_suspect_cost = 240'000;
 constexpr double crashed_address_cost = 120'000;
-constexpr double beside_lasting_cost = 60'000; // they would be away until they have started again
-constexpr double silence_cost = 60'000; // for a second without an answer: an order to a dead worker counts
-// What a suspect waits for a worker without another one. A new leader knows its workers after 1.1 s; a
-// job that has nothing running for 3 s counts as stuck.
+constexpr double beside_lasting_cost = 60'000; // lasting tasks would be unavailable until restarted
+constexpr double silence_cost =
+    60'000; // per second without an answer: an order to a dead worker is counted against the task
+// How long a suspect waits for a worker without another suspect. A new leader knows its workers after 1.1 s,
+// and a job without running tasks for 3 s counts as stuck.
 constexpr auto isolation_timeout = milliseconds(1500);
-// Workers announce themselves about once a second: two announcements missed, and something for their way.
+// Workers announce themselves about once a second: allows two missed announcements and their delay.
 constexpr auto announcement_limit = milliseconds(2500);
 
 bool is_leaving(const worker_view& worker)
@@ -48,14 +49,14 @@
     return out;
 }
 
-/// @brief Whether a start of the run may yet be carried out, seconds late, by whoever has its worker's id
-/// then.
+/// @brief Whether a start of the run may still be carried out seconds later, by the life that has the
+/// worker's id then.
 bool may_begin_later(const run_view& run)
 {
     return run.starts_sent > 0 && (run.start_in_flight || run.start_unanswered);
 }
 
-/// @brief Whether the run's start may have reached its worker.
+/// @brief Whether a start order of the run may have reached its worker.
 bool may_have_begun(const run_view& run)
 {
     return run.stage != run_stage::ordered || run.starts_sent > 0;
@@ -73,12 +74,12 @@
                           life_end_cause how,
                           const std::optional<fleet::worker_life>& next)
 {
-    // Of a life that this leader knows from a late announcement alone, nothing can have crashed now.
+    // A life known only from a late announcement cannot have crashed now.
     const bool was_there = worker.contacted || !worker.runs.empty();
     const bool crashed = how == life_end_cause::crash && !is_leaving(worker) && was_there;
     if (!worker.life_ended)
     {
-        events_.push_back(logging::event("dispatch", "worker_over", "A worker's life is over.")
+        events_.push_back(logging::event("dispatch", "worker_over", "The life of a worker has ended.")
                               .with("worker", worker.info.life.id)
                               .with("born_ms", worker.info.life.born_ms)
                               .with("address", worker.info.address)
@@ -109,7 +110,8 @@
 {
     for (run_view& run : worker.runs)
     {
-        if (run.stage != run_stage::proposed) // else its record comes back; the order then finds no worker
+        if (run.stage != run_stage::proposed) // otherwise its record is still in flight, and the start order
+                                              // will find no worker
         {
             end_or_fence(now, run, jobs::run_end::lost, jobs::crash_sign::none, moved_to_next);
         }
@@ -120,7 +122,7 @@
 {
     worker.life_ended = true;
     worker.announced = false;
-    worker.contacted = false; // an announcement that was held up on its way has to be borne out by an answer
+    worker.contacted = false; // a delayed announcement has to be confirmed by an answer
     worker.poll_in_flight = false;
     worker.next_poll_at = time_point::max();
     worker.ends_recorded = worker.ends_proposed;
@@ -130,8 +132,8 @@
     mark_changed(worker);
 }
 
-// A start that is carried out late would find the next life under the same id willing: there the run is shut
-// out before its task goes elsewhere.
+// The next life under the same id would carry out a delayed start, so the run is fenced there before its task
+// is started elsewhere.
 void dispatcher::end_or_fence(
     time_point now, run_view& run, jobs::run_end how, jobs::crash_sign sign, run_names* moved_to_next)
 {
@@ -147,7 +149,7 @@
     moved_to_next->push_back(run.name);
 }
 
-// Those that are still silent count too: a rack that crashes comes back one worker after the other.
+// Silent workers count too, since the workers of a crashed rack return one by one.
 bool dispatcher::is_widespread(time_point now)
 {
     const std::span<worker_view* const> all = all_workers();
@@ -178,7 +180,7 @@
             end_run(now, run, jobs::run_end::not_begun, run.saved);
             continue;
         }
-        // An order that nobody answered was often sent to a worker that had crashed already.
+        // An unanswered order was often sent to a worker that had already crashed.
         const bool blamed = was_confirmed(run) && run.evidence.blamed == blamed_before;
         const bool innocent = widespread && run.survived_start;
         const jobs::crash_sign unexplained = blamed ? jobs::crash_sign::blamed : jobs::crash_sign::counted;
@@ -205,8 +207,8 @@
     return !worker.announced || worker.announced_at + announcement_limit < now;
 }
 
-// Load that it answers: the ten tasks of a worker that crashed, and a leader that knows only one usable
-// worker yet. All of them went there together, crash after crash, and were blamed alike.
+// A leader may know only one usable worker yet when ten tasks of a crashed worker are waiting. Without the
+// wait all of them would run together there, crash after crash, and be blamed alike.
 bool dispatcher::waits_for_isolation(time_point now, const jobs::task_name& suspect, const worker_view& best)
 {
     if (best.suspects == 0)
--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief A term's course: what it takes over, what it hears, and what it decides.
+/// @brief The course of a term: take-over of recorded runs, events and decisions.
 
 #include "plumspoke/dispatch/dispatcher.hpp"
 #include "pace_limits.hpp"
@@ -14,11 +14,11 @@
 namespace
 {
 
-// Between placements of fillers, as a multiple of a decision's length; their objectives are seconds.
+// Pause between placements of fillers as a multiple of a decision's duration; their objectives are seconds.
 constexpr int filler_pause_factor = 5;
 constexpr auto max_filler_pause = milliseconds(200);
-constexpr auto watch_interval = milliseconds(100); // workers' reports come about once a second
-// Of fillers that an earlier leader may have slowed: neither do they stand still for ever, nor harm at once.
+constexpr auto watch_interval = milliseconds(100); // workers report about once a second
+// Initial pace of fillers that an earlier leader may have slowed: they make progress without causing harm.
 constexpr std::uint32_t inherited_pace = 60; // percent; below it a task would be moved
 
 } // namespace
@@ -51,10 +51,11 @@
         }
         take_over(now, job);
     }
-    events_.push_back(logging::event("dispatch", "leading", "Took over the recorded runs.")
-                          .with("term", static_cast<std::int64_t>(term))
-                          .with("runs", static_cast<std::int64_t>(runs_.size()))
-                          .with("workers", static_cast<std::int64_t>(workers_.size())));
+    events_.push_back(
+        logging::event("dispatch", "leading", "Began a term as leader and took over the recorded runs.")
+            .with("term", static_cast<std::int64_t>(term))
+            .with("runs", static_cast<std::int64_t>(runs_.size()))
+            .with("workers", static_cast<std::int64_t>(workers_.size())));
 }
 
 void dispatcher::take_over(time_point now, const jobs::job& from)
@@ -115,7 +116,7 @@
     worker.announced_at = now;
     if (is_news)
     {
-        room_changed_ = true; // else each of some 450 announcements a second would lead to a placement
+        room_changed_ = true; // otherwise each of about 450 announcements a second would cause a placement
         mark_changed(worker);
     }
     if (first)
@@ -156,7 +157,7 @@
     {
         if (worker_view* other = find_worker(life); other != nullptr && life != heard.life)
         {
-            other->next_poll_at = now; // its own answer tells whether the old life is over
+            other->next_poll_at = now; // its answer shows whether the earlier life has ended
         }
     }
 }
@@ -179,7 +180,7 @@
     {
         return;
     }
-    // It ends right after the goodbye; half a second covers a slow way out.
+    // The worker ends right after this announcement; 500 ms allow for a slow exit.
     worker->departs_at = now + milliseconds(500);
     room_changed_ = true;
     mark_changed(*worker);
@@ -214,7 +215,7 @@
     propose(day_ms, state, now, out);
     order_for_actionable_runs(now, state, out);
     stop_unknown_runs(out);
-    // Polls and starts of a large fleet take long to hand out; a stop has a time limit towards the user.
+    // Sending the polls and starts of a large fleet takes long, while stops have a time limit for the user.
     std::stable_partition(out.orders.begin(),
                           out.orders.end(),
                           [](const order& one)
@@ -336,7 +337,7 @@
     }
     if (lapse == time_point{})
     {
-        return time_point::max(); // nothing was ever ordered there
+        return time_point::max(); // no order was ever sent there
     }
     return lapse;
 }
--- a/src/dispatch/due_orders.cpp
+++ b/src/dispatch/due_orders.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Which workers and runs need an order now: polls in portions, starts, stops.
+/// @brief Orders that are due now: polls in limited batches, starts and stops.
 
 #include "plumspoke/dispatch/dispatcher.hpp"
 
@@ -13,16 +13,16 @@
 namespace
 {
 
-// Polls of one decision: so many for each millisecond since the one before, so that a leader that decides
-// seldom hears of ends as soon, and at least a portion.
+// Limit on polls per decision: a number per millisecond since the previous decision, so that a leader that
+// decides seldom learns of ends as soon, and at least `min_polls`.
 constexpr std::ptrdiff_t min_polls = 256;
 constexpr std::ptrdiff_t polls_per_ms = 5;
-constexpr auto stop_retry = milliseconds(400); // past any queueing of an answered order
+constexpr auto stop_retry = milliseconds(400); // longer than any queueing of an order that is answered
 
 } // namespace
 
-// A new leader has thousands of workers to ask at once, and a connection to open to each; all in one decision
-// that would outlast its own lease. In portions the oldest renewals go first, and heartbeats find time
+// A new leader has to poll thousands of workers and to open a connection to each. In a single decision that
+// would take longer than its own lease. In batches the oldest renewals go first, with time for heartbeats in
 // between.
 void dispatcher::order_due_polls(time_point now, dispatch_output& out)
 {
@@ -55,7 +55,7 @@
     }
 }
 
-/// @return whether the worker is to be asked now
+/// @return whether a poll of the worker is due
 bool dispatcher::update_worker(time_point now, worker_view& worker)
 {
     if (worker.departs_at.has_value() && now >= *worker.departs_at)
@@ -68,7 +68,7 @@
     {
         end_lapsed_runs(now, worker);
     }
-    // A worker without runs that didn't answer is asked on: else it would count as silent for ever.
+    // A silent worker without runs is polled further; otherwise it would count as silent for ever.
     const bool wanted = has_something || (worker.announced && !worker.contacted) ||
                         (is_present(now, worker) && worker.unanswered_calls > 0);
     return !worker.poll_in_flight && wanted && now >= worker.next_poll_at;
@@ -82,15 +82,15 @@
     sent.ends_recorded = worker.ends_recorded;
     if (worker.clock.known() && worker.unanswered_calls == 0)
     {
-        // A worker that doesn't answer is only asked: a lease that might arrive would put off for ever
-        // the time at which its runs have surely lapsed.
+        // A silent worker gets no lease: one that might arrive would postpone the certain lapse of its runs
+        // for ever.
         sent.lease_until_ms = lease_for(now, worker);
     }
     const bool calm =
         worker.contacted && worker.unanswered_calls == 0 && worker.ends_proposed == worker.ends_recorded;
     const bool watched = !overload_.is_late(now) && wants_new_reports(worker);
     milliseconds wait = watched ? options_.watched_poll_wait : options_.poll_wait;
-    // So that a suspect which outlives its start is known to soon: a widespread crash then doesn't count.
+    // Shows early that a suspect survived its start, so that a widespread crash is not counted against it.
     wait = worker.suspects > 0 && !overload_.is_late(now) ? options_.suspect_poll_wait : wait;
     sent.wait_ms = calm ? wait.count() : 0;
     worker.poll_in_flight = true;
@@ -99,7 +99,7 @@
     out.orders.emplace_back(std::move(sent));
 }
 
-// Each decision looked at every run once: with 3,000 runs that alone was half a millisecond.
+// Visits only the listed runs: a pass over all of them took half a millisecond with 3,000 runs.
 void dispatcher::order_for_actionable_runs(time_point now, const jobs::store& state, dispatch_output& out)
 {
     for (auto at = actionable_.begin(); at != actionable_.end();)
@@ -122,7 +122,7 @@
     }
     if (run.stop_wanted)
     {
-        // Not held up by an unanswered start: a worker rejects a start that comes after the run's stop.
+        // Doesn't wait for an unanswered start: a worker rejects a start that arrives after the run's stop.
         const bool due = !run.stop_acknowledged_at.has_value() || run.stop_unconfirmed;
         if (!run.stop_in_flight && now >= run.next_stop_at && due)
         {
@@ -144,7 +144,7 @@
     order_start(now, run, state, out);
 }
 
-// While the record of the start was on its way the worker may have said that it leaves.
+// The worker may have announced that it leaves while the record of the start was in flight.
 bool dispatcher::is_worker_leaving(const run_view& run) noexcept
 {
     return run.on != nullptr &&
@@ -164,7 +164,7 @@
     start_order sent;
     sent.to = recipient_of(*on);
     sent.fencing_token = term_;
-    // As with polls: a lease that might reach a silent worker would put off the time of its lapse.
+    // As with polls, a lease that might reach a silent worker would postpone its certain lapse.
     const bool renews = on->unanswered_calls == 0 || on->lease_sent_ms == 0;
     sent.lease_until_ms = renews ? lease_for(now, *on) : on->lease_sent_ms;
     sent.name = run.name;
--- a/src/dispatch/lapses.cpp
+++ b/src/dispatch/lapses.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Runs whose worker's lease has surely lapsed, and what was open with that worker then.
+/// @brief Runs whose worker's lease has certainly lapsed, and the causes of lapses.
 
 #include "plumspoke/dispatch/dispatcher.hpp"
 #include "run_lost_event.hpp"
@@ -10,7 +10,7 @@
 namespace
 {
 
-constexpr std::int64_t never = -1; // for log lines: nothing of the kind in this term
+constexpr std::int64_t never = -1; // in log lines: did not happen in this term
 
 std::int64_t age_ms(time_point now, time_point at)
 {
--- a/src/dispatch/ready_step.hpp
+++ b/src/dispatch/ready_step.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief A step whose tasks may start, as the parts of placement hand it on.
+/// @brief A step whose tasks may start, as passed between the parts of placement.
 
 #include "plumspoke/dispatch/dispatcher.hpp"
 
@@ -10,10 +10,10 @@
 namespace plumspoke::dispatch
 {
 
-/// @brief Points that a worker loses while it is set aside: it is taken where nothing better is left.
+/// @brief Score penalty of a worker that is set aside: it is used only if no better one is left.
 inline constexpr double set_aside_cost = 60'000;
 
-/// @brief How much a job's remaining time is worth, best first.
+/// @brief How late a job is predicted to end, in order of preference.
 enum class lateness_class : std::uint8_t
 {
     in_time,
@@ -31,11 +31,10 @@
     image_number image_id = 0;
     lateness_class lateness = lateness_class::in_time;
     std::int64_t deadline_ms = 0;
-    bool urgent = false;           // its job has had nothing running for long: any worker is better than none
-    bool takes_precedence = false; // before all others of its priority
-    bool starving = false;         // the same for so long that harm elsewhere is the lesser evil
-    bool restarts_lasting_task =
-        false; // a lasting task of it has lost its run: its users are away until it is back
+    bool urgent = false; // its job has had no running tasks for long: any worker is better than none
+    bool takes_precedence = false;      // before all others of its priority
+    bool starving = false;              // urgent for so long that harm to other tasks is accepted
+    bool restarts_lasting_task = false; // a lasting task has lost its run and is unavailable until restarted
 
     [[nodiscard]] jobs::task_name task(std::uint32_t index) const
     {
@@ -45,7 +44,7 @@
     {
         return at->steps[step];
     }
-    /// @brief Tasks without a run on record.
+    /// @brief Number of tasks without a recorded run.
     [[nodiscard]] std::size_t count_waiting() const
     {
         const std::vector<jobs::task>& tasks = state().tasks;
--- a/src/dispatch/ready_steps.cpp
+++ b/src/dispatch/ready_steps.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Which steps are ready, and in what order they have their turn.
+/// @brief Finds the steps that are ready and orders them.
 
 #include "ready_step.hpp"
 
@@ -12,16 +12,17 @@
 namespace
 {
 
-// A job is worth something up to three times its objective: the users' rule for late work.
+// Late jobs keep some value up to three times their objective, by the users' rule for late work.
 constexpr double late_factor = 3;
-// A job with nothing running for so long takes any worker, also one that is set aside.
+// A job without running tasks for this long takes any worker, even one that is set aside.
 constexpr auto urgent_after = milliseconds(2000);
-// A filler that would harm everywhere is placed after this: sooner it harms more than it earns.
+// A filler that would cause harm on every worker is placed after this; earlier it would cost more than it
+// gains.
 constexpr auto starving_after = milliseconds(8000);
 
 } // namespace
 
-/// @brief How long a job's steps run one after the other, in ms.
+/// @brief Duration of a job's steps run in sequence, in ms.
 struct dispatcher::chain_durations
 {
     double total_ms = 0;
@@ -38,7 +39,7 @@
 
 dispatcher::chain_durations dispatcher::predict_chain(const ready_step& ready) const
 {
-    chain_durations out; // steps mostly wait for the one before
+    chain_durations out; // assumes that each step waits for the previous one, as most do
     const double overhead_ms = stage_delays_.overhead_ms(ready.kind());
     for (std::uint32_t step = 0; step < ready.at->steps.size(); ++step)
     {
@@ -128,7 +129,7 @@
     return ready;
 }
 
-// Most live steps have all their tasks running: nothing is to be placed there, so no task is looked up.
+// Most live steps have all their tasks running, so this check avoids a lookup per task.
 bool dispatcher::has_waiting(const jobs::step& step, const jobs::step_spec& spec) const
 {
     const bool copies = spec.copies_allowed && !copy_wanted_.empty();
--- a/src/dispatch/recent_crashes.cpp
+++ b/src/dispatch/recent_crashes.cpp
@@ -8,11 +8,12 @@
 namespace
 {
 
-constexpr auto crash_window = seconds(60); // workers that crash by themselves do so in series
+constexpr auto crash_window = seconds(60); // faulty workers crash repeatedly
 constexpr auto simultaneous_window =
-    seconds(5);                           // a rack's crash is seen when its workers are back, 2 to 5 s later
-constexpr std::size_t min_widespread = 3; // so many tasks may well crash their workers at once
-constexpr std::size_t widespread_divisor = 5; // more than a fifth of the workers: a rack, a zone, a release
+    seconds(5); // the crash of a rack is seen when its workers return, 2 to 5 s later
+constexpr std::size_t min_widespread = 3; // up to this many tasks may crash their workers at the same time
+constexpr std::size_t widespread_divisor =
+    5; // more than a fifth of the workers: caused by a rack, a zone or a release
 
 } // namespace
 
--- a/src/dispatch/repeated_failure_weight.hpp
+++ b/src/dispatch/repeated_failure_weight.hpp
@@ -1,12 +1,12 @@
 #pragma once
 
 /// @file
-/// @brief How much a worker is blamed for a task that went wrong elsewhere too.
+/// @brief Weight of a failure in a worker's failure score if the task has failed elsewhere too.
 
 namespace plumspoke::dispatch
 {
 
-/// @brief Share of the usual blame: it is rather the task's own fault.
+/// @brief Fraction of the full weight, since the task itself is the likelier cause.
 inline constexpr double repeated_failure_weight = 0.35;
 
 } // namespace plumspoke::dispatch
--- a/src/dispatch/retry_backoff.cpp
+++ b/src/dispatch/retry_backoff.cpp
@@ -9,7 +9,7 @@
 {
 
 constexpr duration initial_pause = milliseconds(50); // about two decisions
-constexpr int max_doublings = 4; // 800 ms: a job with nothing running for 3 s counts as stuck
+constexpr int max_doublings = 4; // 800 ms: a job without running tasks for 3 s counts as stuck
 
 } // namespace
 
--- a/src/dispatch/rounds.cpp
+++ b/src/dispatch/rounds.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief What a leader records: how a round is planned, and what its end, or its loss, changes here.
+/// @brief Rounds, the records of a leader: planning, and the effects of their commit or failure.
 
 #include "plumspoke/dispatch/dispatcher.hpp"
 
@@ -13,15 +13,16 @@
 namespace
 {
 
-constexpr auto placement_interval = milliseconds(100); // for what changes with time alone
-constexpr auto record_interval = seconds(1); // of what was learned: a leader lost in between loses a second
-// Jobs that ended are kept for minutes, so a second more matters to nobody; a look walks over all of them.
+constexpr auto placement_interval = milliseconds(100); // for conditions that change with time alone
+constexpr auto record_interval =
+    seconds(1); // between records of learned effects; a lost leader loses at most this much
+// Ended jobs are kept for minutes, so a second more is harmless; the check iterates over all jobs.
 constexpr auto forget_interval = milliseconds(1000);
-constexpr std::size_t max_forgotten_per_round = 200; // at most so many jobs end in a second
-// What has begun goes into whatever round is next, or alone after this: a count of waiting jobs may be 2 s
+constexpr std::size_t max_forgotten_per_round = 200; // at least the number of jobs that end per second
+// Begun jobs are recorded with the next round, or alone after this time; a count of waiting jobs may be 2 s
 // old.
 constexpr auto begun_interval = milliseconds(500);
-// Ends come in clusters, and each poll has its price: after one that brought ends the next waits a little.
+// Ends come in clusters and each poll has a cost, so the poll after one with ends is delayed a little.
 constexpr auto min_poll_delay_after_ends = milliseconds(80);
 
 } // namespace
@@ -114,7 +115,7 @@
     {
         return;
     }
-    // Ends of runs that nobody waits for need no record.
+    // Ends of unknown runs need no record.
     for (const auto& [id, number] : empty.recorded_ends)
     {
         worker_view& worker = workers_.at(id);
@@ -178,7 +179,7 @@
         {
             continue;
         }
-        // Occurrences fall due in turn, so their number is the next one's.
+        // Occurrences become due in sequence, so their count is the number of the next one.
         const auto next = static_cast<std::uint32_t>(job->occurrences.size());
         if (job->spec.first_due_ms + static_cast<std::int64_t>(next) * job->spec.interval_ms <= day_ms)
         {
@@ -241,7 +242,7 @@
     }
 }
 
-// Each end of a short task that is heard of late keeps a caller waiting, and few workers have one.
+// A caller waits for the end of each short task, and few workers run one, so their polls are not delayed.
 duration dispatcher::next_poll_delay(time_point now, const worker_view& worker) const
 {
     const bool has_short_task = std::any_of(worker.runs.begin(),
@@ -259,7 +260,7 @@
                                   : overload_.poll_delay_after_ends(min_poll_delay_after_ends, longest);
 }
 
-// Not recorded: the workers list these ends again, since they were not noted.
+// The round was not recorded, so the workers list these ends again.
 void dispatcher::rollback_ends(time_point now, const round_proposal& round)
 {
     for (const jobs::run_name& name : round.ends)
@@ -280,7 +281,7 @@
     }
 }
 
-// Not recorded: a run is noted as begun only once, when its worker first confirms it.
+// The round was not recorded, and a run is reported as begun only once, on its first confirmation.
 void dispatcher::rollback_begun(time_point now, const round_proposal& round)
 {
     begun_jobs_.insert(round.begun.begin(), round.begun.end());
--- a/src/dispatch/run_lost_event.hpp
+++ b/src/dispatch/run_lost_event.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief The log lines of a run that has ended without its work, and of a task that is given up.
+/// @brief The log events of a run that ended without completing, and of a task that is given up.
 
 #include "plumspoke/dispatch/worker_view.hpp"
 #include "plumspoke/logging/event.hpp"
@@ -9,11 +9,11 @@
 namespace plumspoke::dispatch
 {
 
-/// @param now for how long ago the run was recorded; its start was sent right after
+/// @param now for the age of the run since its record; its start was sent right after that
 [[nodiscard]] inline logging::event run_lost_event(time_point now, const run_view& run, jobs::run_end how)
 {
     const auto age = std::chrono::duration_cast<milliseconds>(now - run.recorded_at);
-    return logging::event("dispatch", "run_lost", "A run has ended without its work being done.")
+    return logging::event("dispatch", "run_lost", "A run ended without completing its work.")
         .with("job", run.name.task.job)
         .with("step", run.name.task.step)
         .with("index", run.name.task.index)
@@ -30,11 +30,13 @@
         .with("blamed_before", run.evidence.blamed);
 }
 
-/// @param evidence with that of this run
+/// @param evidence the task's crash evidence including this run
 [[nodiscard]] inline logging::event task_given_up_event(const run_view& run,
                                                         const jobs::crash_evidence& evidence)
 {
-    return logging::event("dispatch", "task_given_up", "Workers crash under a task; its job has failed.")
+    return logging::event("dispatch",
+                          "task_given_up",
+                          "A task is given up after repeated worker crashes; its job has failed.")
         .with("job", run.name.task.job)
         .with("step", run.name.task.step)
         .with("index", run.name.task.index)
--- a/src/dispatch/stage_delays.cpp
+++ b/src/dispatch/stage_delays.cpp
@@ -11,7 +11,7 @@
 {
 
 constexpr std::int64_t us_per_ms = 1000;
-constexpr double max_weight = 200; // samples after which old ones fade
+constexpr double max_weight = 200; // number of samples in the exponential mean
 
 std::int64_t percentile_95(std::vector<std::int64_t>& values)
 {
@@ -60,7 +60,7 @@
 
 logging::event stage_delays::to_event()
 {
-    logging::event line("dispatch", "task_stages", "How long tasks spent in each stage in this window.");
+    logging::event line("dispatch", "task_stages", "Time that tasks spent in each stage in this window.");
     for (std::size_t kind = 0; kind < work_kind_count; ++kind)
     {
         for (std::size_t stage = 0; stage < task_stage_count; ++stage)
--- a/src/dispatch/step_duration_predictor.cpp
+++ b/src/dispatch/step_duration_predictor.cpp
@@ -9,9 +9,9 @@
 namespace
 {
 
-// Steps after which old ones fade: some ten seconds of a busy queue, so that work that changes is followed.
+// Steps in the exponential mean: about ten seconds of a busy queue, so that changes of its work are followed.
 constexpr double max_weight = 200;
-// Steps that it takes to outweigh the guess.
+// Weight of the submitter's estimate, as a number of steps.
 constexpr double prior_weight = 4;
 constexpr double min_ms = 1;
 
@@ -47,7 +47,8 @@
     }
     const moments& stats = found->second;
     const double estimate = estimate_ms == 0 ? stats.mean_estimate : to_log(estimate_ms);
-    // The guess's own variance is not known for sure while few were seen: it is shrunk towards the mean.
+    // The variance of the estimates is uncertain while few steps were seen, so the slope is bounded, which
+    // shrinks the estimate towards the mean.
     const double slope =
         stats.estimate_variance > 0 ? std::clamp(stats.covariance / stats.estimate_variance, 0.0, 1.0) : 0.0;
     const double learned = stats.mean_duration + slope * (estimate - stats.mean_estimate);
--- a/src/dispatch/watch.cpp
+++ b/src/dispatch/watch.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Runs that stand still or lag, and workers that leave.
+/// @brief Detection of stalled runs and stragglers, draining workers, and the periodic summary.
 
 #include "pace_limits.hpp"
 #include "plumspoke/dispatch/dispatcher.hpp"
@@ -13,23 +13,23 @@
 namespace
 {
 
-constexpr std::int64_t min_measured_percent = 3;           // below this a speed is mostly rounding
-constexpr duration min_sweep_interval = milliseconds(100); // workers' reports come about once a second
-// For each run, which bounds the share of a processor that looking at all of them takes.
+constexpr std::int64_t min_measured_percent = 3;           // below this, the speed is dominated by rounding
+constexpr duration min_sweep_interval = milliseconds(100); // workers report about once a second
+// Interval per run, which bounds the share of a processor that checking all runs takes.
 constexpr duration sweep_interval_per_run = std::chrono::microseconds(40);
-constexpr auto summary_interval = seconds(2);  // short enough to see a disturbance of a few seconds
-constexpr auto cleaning_interval = seconds(1); // of what is kept for jobs that have ended
-// For a poll's answer that lists a stopped run's end, or doesn't list the run any more.
+constexpr auto summary_interval = seconds(2);  // short enough to show a disturbance of a few seconds
+constexpr auto cleaning_interval = seconds(1); // of state kept for ended jobs
+// Limit for a poll's answer that lists the end of a stopped run or no longer lists the run.
 constexpr auto stop_confirmation_timeout = milliseconds(2500);
-constexpr auto move_delay = milliseconds(200); // a move costs about 0.4 s: the saved work is restored
-constexpr std::size_t max_moves = 2;          // of one task: where everything is full, moving on helps nobody
-constexpr int max_straggler_moves = 2;        // of one task: slow on a third worker it is slow by nature
-constexpr int max_timeout_doublings = 6;      // 1.6 s grow to 102 s
-constexpr double filler_straggler_factor = 2; // a filler lags where others use their processors
+constexpr auto move_delay = milliseconds(200); // a move costs about 0.4 s to restore the saved work
+constexpr std::size_t max_moves = 2;           // per task: on a full fleet further moves don't help
+constexpr int max_straggler_moves = 2;   // per task: one that is slow on three workers is inherently slow
+constexpr int max_timeout_doublings = 6; // from 1.6 s to 102 s
+constexpr double filler_straggler_factor = 2; // fillers are slower while others use their processors
 
 } // namespace
 
-// The more runs, the less often: their figures come with polls, once or twice a second.
+// Longer with more runs; their figures arrive with polls, once or twice a second.
 duration dispatcher::sweep_interval() const noexcept
 {
     return std::max(min_sweep_interval, sweep_interval_per_run * static_cast<std::int64_t>(runs_.size()));
@@ -111,12 +111,12 @@
     const jobs::task* task = state.find(run.name.task);
     if (task != nullptr && task->phase == jobs::task_phase::done)
     {
-        run.stop_wanted = true; // a copy was faster
+        run.stop_wanted = true; // a copy finished first
     }
 }
 
-// For each run ten times a second: it looks nothing up by name. Runs of jobs that have ended are to be
-// stopped and are passed over.
+// Called for each run up to ten times a second, so it avoids lookups by name. Runs of ended jobs are already
+// to be stopped and are skipped.
 void dispatcher::watch_run(time_point now, run_view& run)
 {
     if (run.stop_wanted)
@@ -160,7 +160,8 @@
         elapsed * static_cast<double>(whole_percent - run.percent) / static_cast<double>(run.percent);
     const double again = run.siblings->mean_ms * (run.saves_progress && !run.saved.empty() ? 0.5 : 1.0);
     const double extra = std::chrono::duration<double, std::milli>(options_.straggler_margin).count();
-    // A filler is slow where others use their processors: it is moved for much, and its worker not blamed.
+    // Fillers slow down while others use their processors: the factor is larger, and the worker is not
+    // penalized.
     const double factor = options_.straggler_factor * (run.filler ? filler_straggler_factor : 1);
     if (left > factor * again + extra && (!run.filler || !run.saved.empty()))
     {
@@ -168,7 +169,7 @@
     }
 }
 
-// Nothing else doubts an acknowledgement while polls go unanswered.
+// The only check of an acknowledgement while polls are unanswered.
 void dispatcher::retry_unconfirmed_stop(time_point now, run_view& run)
 {
     if (run.stop_acknowledged_at.has_value() &&
@@ -185,8 +186,8 @@
     return found == slow_moves_.end() ? 0 : found->second;
 }
 
-// What stands still wherever it runs must not be moved for ever, nor set sound workers aside: each move
-// doubles the timeout, and only the first worker gets the whole blame.
+// A task that stalls on every worker must neither be moved for ever nor set sound workers aside: each move
+// doubles the timeout, and only the first worker is penalized in full.
 void dispatcher::move_stalled_run(time_point now, run_view& run)
 {
     const int moves = slow_moves_of(run.name.task);
@@ -202,7 +203,7 @@
     move_run(now, run, "standstill");
 }
 
-// A task that is slower than its fellows by nature would be moved on for ever and never end.
+// The number of moves is limited: an inherently slow task would be moved for ever and never end.
 void dispatcher::move_straggling_run(time_point now, run_view& run)
 {
     const int moves = slow_moves_of(run.name.task);
@@ -221,22 +222,23 @@
 {
     if (run.copies_allowed && runs_of(run.name.task).count > 1)
     {
-        run.progress_at = now; // its copy is on the way already
+        run.progress_at = now; // a copy already exists
         return;
     }
-    events_.push_back(logging::event("dispatch", "run_moved", "A run is given up for another one elsewhere.")
-                          .with("job", run.name.task.job)
-                          .with("step", run.name.task.step)
-                          .with("index", run.name.task.index)
-                          .with("attempt", run.name.attempt)
-                          .with("worker", run.worker.id)
-                          .with("born_ms", run.worker.born_ms)
-                          .with("percent", run.percent)
-                          .with("reason", why));
+    events_.push_back(
+        logging::event("dispatch", "run_moved", "A run is replaced by another one on another worker.")
+            .with("job", run.name.task.job)
+            .with("step", run.name.task.step)
+            .with("index", run.name.task.index)
+            .with("attempt", run.name.attempt)
+            .with("worker", run.worker.id)
+            .with("born_ms", run.worker.born_ms)
+            .with("percent", run.percent)
+            .with("reason", why));
     failed_on_[run.name.task].insert(run.worker);
     if (run.copies_allowed && is_on(mechanism::copies))
     {
-        run.progress_at = now; // judged again after another while
+        run.progress_at = now; // checked again after another timeout
         copy_wanted_.insert(run.name.task);
         return;
     }
@@ -265,7 +267,7 @@
                                               : static_cast<double>(spec.estimate_ms);
         if (!spec.lasting && needed < static_cast<double>(left_ms))
         {
-            continue; // it ends before its worker does
+            continue; // it will end before its worker leaves
         }
         ++counts_.moved_drain;
         move_run(now, run, "its worker leaves");
@@ -301,7 +303,7 @@
     {
         paced += run.wanted_pace < whole_percent ? 1 : 0;
     }
-    events_.push_back(logging::event("dispatch", "summary", "What runs and what waits.")
+    events_.push_back(logging::event("dispatch", "summary", "Summary of jobs, runs and workers.")
                           .with("live_jobs", static_cast<std::int64_t>(state.live().size()))
                           .with("runs", static_cast<std::int64_t>(runs_.size()))
                           .with("paced_runs", paced)
--- a/src/dispatch/worker_clock.cpp
+++ b/src/dispatch/worker_clock.cpp
@@ -7,7 +7,7 @@
 {
     if (known() && clock_ms < lower_bound(received_at))
     {
-        return; // an older answer that was overtaken tells less than what is known
+        return; // an answer that was overtaken by a newer one gives a weaker bound
     }
     clock_ms_ = clock_ms;
     received_at_ = received_at;
--- a/src/dispatch/worker_view.cpp
+++ b/src/dispatch/worker_view.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief A run's view from its record and its step, and the contact with a worker.
+/// @brief Construction of run views and contact snapshots.
 
 #include "plumspoke/dispatch/worker_view.hpp"
 
--- a/tests/src/dispatcher_fixture.hpp
+++ b/tests/src/dispatcher_fixture.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief A dispatcher with workers that answer as a test says, for the tests of single decisions.
+/// @brief A dispatcher with simulated workers, for tests of single decisions.
 
 #include "plumspoke/dispatch/dispatcher.hpp"
 
@@ -14,7 +14,7 @@
 const time_point start{seconds(1000)};
 constexpr std::int64_t day_ms = 1'000'000;
 
-/// @brief A leader with workers that answer as the test says.
+/// @brief A leader whose workers give the answers that the test supplies.
 struct fixture
 {
     fixture()
@@ -51,7 +51,7 @@
         leader.announced(now, worker);
     }
 
-    /// @brief A life of a worker says what it is; all at one address, whatever their id.
+    /// @brief Announces a life of a worker; all lives share one address, whatever their id.
     fleet::announcement announce_life(const fleet::worker_life& life, std::uint64_t sequence, jobs::room room)
     {
         fleet::announcement worker;
@@ -64,14 +64,14 @@
         return worker;
     }
 
-    /// @brief Whether the worker that now has this life would carry out an order to that recipient.
+    /// @brief Whether a worker in this life would carry out an order to that recipient.
     [[nodiscard]] static bool reaches(const recipient& to, const fleet::worker_life& life)
     {
         const bool is_told = to.worker.born_ms != 0;
         return to.worker.id == life.id && (!is_told || to.worker == life);
     }
 
-    /// @brief Lets time pass, decides, and keeps the orders; rounds wait for commit().
+    /// @brief Advances the time, decides and keeps the orders; rounds wait for commit().
     void decide(duration passed = milliseconds(25))
     {
         now += passed;
@@ -128,7 +128,7 @@
         leader.answered(now, {what, now}, got);
     }
 
-    /// @brief Answers the oldest open poll of a worker.
+    /// @brief Answers the oldest open poll.
     void answer_poll(worker_answer got)
     {
         REQUIRE_FALSE(open_polls.empty());
@@ -137,7 +137,7 @@
         answer(sent, std::move(got));
     }
 
-    /// @brief Answers all open polls with these rows; one worker may be silent.
+    /// @brief Answers all open polls with these rows; one worker may stay silent.
     void answer_polls(const std::vector<running_row>& rows = {}, const std::string& silent = {})
     {
         for (const poll_order& one : std::exchange(open_polls, {}))
--- a/tests/src/unit-crash_blame.cpp
+++ b/tests/src/unit-crash_blame.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Which task a worker's crash is blamed on, and where a suspect runs next.
+/// @brief Attribution of a worker's crash to tasks, and isolation of suspects.
 
 #include "dispatcher_fixture.hpp"
 
@@ -12,10 +12,10 @@
 namespace
 {
 
-/// @brief A leader whose workers have confirmed what they run.
+/// @brief A leader whose workers confirm their runs.
 struct crash_fixture : fixture
 {
-    /// @brief Lets each granted run be sent, and answered by its worker.
+    /// @brief Commits all grants, and answers their start orders.
     void start_all()
     {
         decide();
@@ -34,7 +34,7 @@
         commit();
     }
 
-    /// @brief The worker crashes, and another life answers at its address.
+    /// @brief Crashes a worker; another life answers at its address.
     void crash(const std::string& worker, const std::string& next_life)
     {
         fleet::announcement next = leader.workers().at({worker}).info;
@@ -82,20 +82,20 @@
 
 } // namespace
 
-TEST_CASE("a crash is blamed on what its worker had begun")
+TEST_CASE("a crash is blamed on the runs that its worker had begun")
 {
     crash_fixture f;
     f.add_workers(1);
     f.submit(two_tasks());
 
-    SECTION("all of it, where none is a suspect yet")
+    SECTION("on all of them, if none is a suspect yet")
     {
         f.start_all();
         f.crash("w0", "w0-next");
         CHECK(f.evidence_of(first) == jobs::crash_evidence{1, 1});
         CHECK(f.evidence_of(second) == jobs::crash_evidence{1, 1});
     }
-    SECTION("not on a run whose start nobody answered")
+    SECTION("not on a run whose start was not answered")
     {
         f.decide();
         f.commit();
@@ -112,7 +112,7 @@
         f.crash("w0", "w0-next");
         CHECK(f.evidence_of(first) == jobs::crash_evidence{});
     }
-    SECTION("not where the worker was leaving")
+    SECTION("not if the worker was leaving")
     {
         f.start_all();
         fleet::announcement leaving = f.leader.workers().at({"w0"}).info;
@@ -123,18 +123,18 @@
         f.crash("w0", "w0-next");
         CHECK(f.evidence_of(first) == jobs::crash_evidence{});
     }
-    SECTION("not where a worker at its address crashed a moment ago")
+    SECTION("not if a worker at its address has crashed recently")
     {
         f.start_all();
         f.crash("w0", "w0-next");
         f.decide();
         f.answer_polls();
         f.start_all();
-        REQUIRE(f.worker_of(first) == "w0-next"); // alone: the other suspect waits
+        REQUIRE(f.worker_of(first) == "w0-next"); // alone, since the other suspect waits
         f.crash("w0-next", "w0-third");
         CHECK(f.evidence_of(first) == jobs::crash_evidence{2, 1});
     }
-    SECTION("once, though its end is told twice")
+    SECTION("once, although the end of its life is reported twice")
     {
         f.start_all();
         f.crash("w0", "w0-next");
@@ -144,7 +144,7 @@
     }
 }
 
-TEST_CASE("suspects are kept apart")
+TEST_CASE("suspects are isolated")
 {
     crash_fixture f;
     f.add_workers(1);
@@ -165,7 +165,7 @@
         CHECK(f.worker_of(first) != "w0-next");
         CHECK(f.worker_of(second) != "w0-next");
     }
-    SECTION("and wait for a second worker, but not for ever")
+    SECTION("and wait for a second worker, but only for a limited time")
     {
         f.crash("w0", "w0-next");
         f.decide();
@@ -183,7 +183,7 @@
     }
 }
 
-TEST_CASE("a widespread crash is blamed on nobody")
+TEST_CASE("a widespread crash is blamed on no task")
 {
     recent_crashes of;
     constexpr std::size_t workers = 40;
@@ -197,7 +197,7 @@
     CHECK(of.is_widespread(start, 0, workers));
     CHECK_FALSE(of.is_widespread(start + seconds(6), 0, workers));
 
-    SECTION("and an address is trusted again after a minute")
+    SECTION("and an address is no longer considered after a minute")
     {
         CHECK(of.crashed_recently(start + seconds(60), "address10"));
         CHECK_FALSE(of.crashed_recently(start + seconds(61), "address10"));
--- a/tests/src/unit-decision_rate_limiter.cpp
+++ b/tests/src/unit-decision_rate_limiter.cpp
@@ -1,10 +1,10 @@
 /// @file
-/// @brief How often a leader decides, and when a decision gives way to heartbeats.
+/// @brief Rate of a leader's decisions, and their deferral in favour of heartbeats.
 ///
-/// Symptom: terms ended for want of a renewed lease on a leader that used all of its processors, while its VM
-/// and links were sound. Sequence: decisions of tens of milliseconds follow one another; heartbeats and their
-/// answers, on other threads of the process, wait for a turn of the same processors, twice for each renewal.
-/// Cause: a decision was made however little was left of the lease that it rests on.
+/// Guards against terms that end for lack of a lease renewal on a saturated leader whose VM and links are
+/// sound. Consecutive decisions of tens of milliseconds keep heartbeats and their answers, which other
+/// threads handle, waiting for the same processors, unless decisions are deferred while little of the lease
+/// is left.
 
 #include "plumspoke/dispatch/decision_rate_limiter.hpp"
 
@@ -20,7 +20,7 @@
 
 } // namespace
 
-TEST_CASE("a decision gives way while little is left of the leader's lease")
+TEST_CASE("a decision is deferred while little is left of the leader's lease")
 {
     decision_rate_limiter pace;
     CHECK_FALSE(pace.should_defer(start, milliseconds(600)));
@@ -30,7 +30,7 @@
     CHECK_FALSE(pace.should_defer(start + milliseconds(175), milliseconds(580))); // renewed
 }
 
-TEST_CASE("where peers are always slow, decisions are made all the same")
+TEST_CASE("with constantly slow peers, decisions are still made")
 {
     decision_rate_limiter pace;
     int decisions = 0;
@@ -42,7 +42,7 @@
     CHECK(decisions <= 12);
 }
 
-TEST_CASE("a leader rests for three times what a decision took, 50 ms at most")
+TEST_CASE("a leader pauses for three times the duration of a decision, at most 50 ms")
 {
     decision_rate_limiter pace;
     pace.record(start, start + milliseconds(4));
--- a/tests/src/unit-dispatcher.cpp
+++ b/tests/src/unit-dispatcher.cpp
@@ -24,7 +24,7 @@
     CHECK(f.sent<start_order>()[0].lease_until_ms > 5000);
 }
 
-TEST_CASE("a straggler gets one copy, also while the copy's record is on its way")
+TEST_CASE("a run on a silent worker gets one copy, also while the copy's record is in flight")
 {
     fixture f;
     f.announce("w1");
@@ -41,7 +41,7 @@
     const start_order first = f.sent<start_order>().at(0);
     f.answer(first, {reply::done, {}, {}, {}});
     std::set<std::uint32_t> attempts;
-    for (int i = 0; i < 60; ++i) // its worker falls silent
+    for (int i = 0; i < 60; ++i) // its worker stops answering
     {
         f.decide(milliseconds(50));
         f.answer_polls({}, first.to.worker.id);
@@ -59,7 +59,7 @@
     CHECK(f.leader.runs().size() == 2);
 }
 
-TEST_CASE("a start that may still take effect is shut out before the task goes elsewhere")
+TEST_CASE("a start that may still take effect is fenced before its task is started elsewhere")
 {
     fixture f;
     f.announce("w1");
@@ -72,11 +72,11 @@
     const start_order first = f.sent<start_order>().at(0);
     f.answer(first, {reply::none, {}, {}, {}});
     f.decide(milliseconds(200));
-    REQUIRE(f.sent<start_order>().size() == 1); // the same run again
+    REQUIRE(f.sent<start_order>().size() == 1); // the same run is ordered again
     CHECK(f.sent<start_order>()[0].name == first.name);
     f.answer(f.sent<start_order>()[0], {reply::no_room, {}, {}, {}});
     f.decide();
-    CHECK(f.rounds.empty()); // the unanswered order may be carried out yet: nothing is written off
+    CHECK(f.rounds.empty()); // the unanswered order may still be carried out, so no end is recorded
     REQUIRE(f.sent<stop_order>().size() == 1);
     f.answer(f.sent<stop_order>()[0], {reply::done, {}, {}, {}});
     for (int i = 0; i < 10 && f.rounds.empty(); ++i)
@@ -90,7 +90,7 @@
     CHECK(f.rounds[0].command.ends[0].how == jobs::run_end::not_begun);
 }
 
-TEST_CASE("a silent worker's runs end when its lease has surely lapsed, and not before")
+TEST_CASE("a silent worker's runs end when its lease has certainly lapsed, and not before")
 {
     fixture f;
     f.announce("w1");
@@ -116,7 +116,7 @@
             f.commit();
         }
     }
-    CHECK(told_begun == 1); // the one other thing to record: the worker had begun it
+    CHECK(told_begun == 1); // the only other record: the worker has begun the job
     REQUIRE_FALSE(f.rounds.empty());
     REQUIRE(f.rounds[0].command.ends.size() == 1);
     CHECK(f.rounds[0].command.ends[0].how == jobs::run_end::lapsed);
@@ -140,7 +140,7 @@
     const time_point silent_until = f.now + seconds(7);
     while (f.now < silent_until)
     {
-        f.announce("w1"); // its own way to us is open
+        f.announce("w1"); // its announcements still arrive
         f.decide(milliseconds(50));
         f.commit();
         f.answer_polls({}, "w1");
@@ -174,18 +174,18 @@
     got.finished.push_back({1, sent.name, jobs::run_end::done, ""});
     f.answer_poll(got);
     f.decide();
-    CHECK(f.open_polls.empty()); // no poll that would say so yet
+    CHECK(f.open_polls.empty()); // no poll with `ends_recorded` before the commit
     CHECK(f.rounds.size() == 1);
     f.commit();
     CHECK(f.state.find("job")->phase == jobs::job_phase::completed);
     f.decide();
-    CHECK(f.open_polls.empty()); // more ends may follow at once: one poll for all of them
+    CHECK(f.open_polls.empty()); // delayed, so that one poll covers ends that follow closely
     f.decide(milliseconds(50));
     REQUIRE(f.open_polls.size() == 1); // within 100 ms of the answer that listed it
     CHECK(f.open_polls[0].ends_recorded == 1);
 }
 
-TEST_CASE("a lasting task that lost its worker gets room though short tasks never stop coming")
+TEST_CASE("a lasting task that lost its worker gets room under a constant supply of short tasks")
 {
     fixture f;
     f.announce("w1");
@@ -254,7 +254,7 @@
     CHECK(started[0].task.job == "lasting");
 }
 
-TEST_CASE("a run that nobody asked for is stopped")
+TEST_CASE("an unknown run that a worker lists is stopped")
 {
     fixture f;
     f.announce("w1");
@@ -301,7 +301,7 @@
     CHECK(f.leader.counts().workers_set_aside == 1);
 }
 
-TEST_CASE("a lapse says what was open with its worker")
+TEST_CASE("a lapse is reported with its cause and the state of the contact with its worker")
 {
     fixture f;
     const auto lapsed_line = [&f]
@@ -332,9 +332,9 @@
     f.decide();
     f.answer(f.sent<start_order>().at(0), {reply::done, {}, {}, {}});
 
-    SECTION("it left calls unanswered")
+    SECTION("its worker left polls unanswered")
     {
-        // The first round says that the worker had begun the run; the one with its end follows.
+        // The first round records that the job has begun; the one with the end follows.
         while (f.rounds.empty() || f.rounds.back().command.ends.empty())
         {
             f.decide(milliseconds(50));
@@ -350,7 +350,7 @@
         CHECK(says(line, "\"step_gap_ms\":50"));
     }
 
-    SECTION("its poll was open, since nothing was decided for long")
+    SECTION("a poll was in flight, since no decision was made for 6 s")
     {
         REQUIRE_FALSE(f.open_polls.empty());
         f.decide(seconds(6));
@@ -363,7 +363,7 @@
         CHECK(says(line, "\"step_gap_ms\":6000"));
     }
 
-    SECTION("it was not asked, since nothing was decided for long")
+    SECTION("no poll was in flight, since no decision was made for 6 s")
     {
         f.answer_polls({{f.sent<start_order>().at(0).name, {}, 10, 0}});
         f.decide(seconds(6));
@@ -371,7 +371,7 @@
         CHECK(says(lapsed_line(), "\"cause\":\"not_asked\""));
     }
 
-    SECTION("it did not answer the next leader")
+    SECTION("its worker did not answer the next leader")
     {
         f.leader.lead(f.now, 8, f.state);
         f.open_polls.clear();
@@ -396,7 +396,7 @@
         return got;
     };
 
-    SECTION("its worker says so: no lease was sent to it for long")
+    SECTION("its worker reports it: no lease was sent to it for 4.1 s")
     {
         f.answer_poll({reply::done, {}, {{run, {}, 10, 0}}, {}});
         f.decide(milliseconds(4100));
@@ -410,7 +410,7 @@
         CHECK(says(line, "\"contacted\":1"));
     }
 
-    SECTION("its worker says so, though leases were sent in time")
+    SECTION("its worker reports it although leases were sent in time")
     {
         f.answer_poll({reply::done, {}, {{run, {}, 10, 0}}, {}});
         f.decide(milliseconds(1000));
@@ -419,7 +419,7 @@
         CHECK(lapsed(lapse_detector::worker, lapse_cause::renewed) == 1);
     }
 
-    SECTION("its worker says so in its first answer to the next leader")
+    SECTION("its worker reports it in its first answer to the next leader")
     {
         f.leader.lead(f.now, 8, f.state);
         f.open_polls.clear();
@@ -435,7 +435,7 @@
     }
 }
 
-TEST_CASE("a run that is recorded and not confirmed is counted with its age")
+TEST_CASE("a recorded run without a confirmation is counted with its age")
 {
     fixture f;
     f.announce("w1");
@@ -469,7 +469,7 @@
     }
 }
 
-TEST_CASE("a cancel is timed from its record to the end of its job's last run")
+TEST_CASE("the latency of a cancel is measured from its record to the end of its job's last run")
 {
     fixture f;
     f.announce("w1");
@@ -495,13 +495,13 @@
     CHECK(f.cancels_stopped_ms[0] == passed_ms - 50);
     CHECK(f.state.leftover().empty());
     f.decide();
-    CHECK(f.cancels_stopped_ms.empty()); // once
+    CHECK(f.cancels_stopped_ms.empty()); // reported once
 }
 
-TEST_CASE("a late announcement of a life that is over brings it no work")
+TEST_CASE("a delayed announcement of an ended life causes no starts on it")
 {
-    // A cut may hold an announcement back until its sender has crashed and another life answers at the
-    // address.
+    // A network partition may delay an announcement until its sender has crashed and another life answers at
+    // the address.
     fixture f;
     f.announce("w1");
     f.decide();
@@ -516,7 +516,7 @@
     f.decide();
     CHECK(f.starts_proposed() == 0);
     f.commit();
-    REQUIRE(f.open_polls.size() == 2); // the one from before the end of the life, and a new one that asks
+    REQUIRE(f.open_polls.size() == 2); // one from before the end of the life, and a new one
     f.open_polls.erase(f.open_polls.begin());
     f.answer_poll({reply::other_life, {}, {}, {}});
     f.decide(milliseconds(200));
@@ -524,9 +524,9 @@
     CHECK(f.leader.workers().empty());
 }
 
-// Symptom: half of the short jobs ended 4 s after they were handed in, though they go first. Cause: the pause
-// after a poll that brought ends grows with the leader's lateness, for each of their steps.
-TEST_CASE("a late leader hears of a short task's end as soon as one that has time")
+// Guards against short jobs that end 4 s after their submission although they have precedence: the delay of
+// the poll after one with ends grows with the leader's lateness, and applied to each of their steps.
+TEST_CASE("an overloaded leader polls for the end of a short task without additional delay")
 {
     fixture f;
     f.announce("w1");
--- a/tests/src/unit-dispatcher_overload.cpp
+++ b/tests/src/unit-dispatcher_overload.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Decisions of the dispatcher when there is more work than room: who goes first, what is kept free.
+/// @brief Decisions of the dispatcher with more work than room: order of jobs and reserved room.
 
 #include "dispatcher_fixture.hpp"
 
@@ -12,9 +12,9 @@
 namespace
 {
 
-constexpr std::int64_t worker_milli = 16'000; // as the fixture announces them
+constexpr std::int64_t worker_milli = 16'000; // as announced by the fixture
 
-/// @brief A job of one step whose objective is twice its length and a second more.
+/// @brief A job of one step with an objective of twice its duration plus one second.
 jobs::submit job_of(const std::string& id, std::int64_t accepted_at_ms, jobs::step_spec step)
 {
     jobs::submit value;
@@ -49,7 +49,7 @@
     return out;
 }
 
-/// @brief Decides and commits until nothing more is granted; answers starts and polls.
+/// @brief Decides and commits for 1.5 s, and answers starts and polls.
 void settle(fixture& f, std::vector<running_row>& rows)
 {
     for (int i = 0; i < 20; ++i) // 1.5 s
@@ -66,10 +66,10 @@
     }
 }
 
-/// @brief Ends all runs of a job, as their workers list them.
+/// @brief Ends all runs of a job by their workers' answers to polls.
 void finish(fixture& f, const std::string& job)
 {
-    f.decide(milliseconds(100)); // polls go out
+    f.decide(milliseconds(100)); // sends polls
     for (const poll_order& one : std::exchange(f.open_polls, {}))
     {
         worker_answer got;
@@ -99,9 +99,9 @@
 
 } // namespace
 
-// Load: jobs of a whole outage wait, more than can ever be in time. Served by age, each one is just too late,
-// and so are all that come after.
-TEST_CASE("a job that is past its worth gives way to one that can still be in time")
+// After an outage more jobs wait than can end in time. In order of age each of them would end just too late,
+// and so would all later ones.
+TEST_CASE("a hopelessly late job yields to one that can still end in time")
 {
     fixture f;
     f.announce("w1");
@@ -116,9 +116,9 @@
     CHECK(starts_of(f)[0].name.task.job == "c in time");
 }
 
-// Load: lasting tasks that come until all workers are full, and short tasks that are large against a worker.
-// With a share of each worker kept free a short task of 12 cores found no room on any of them.
-TEST_CASE("lasting tasks leave whole places for the short tasks that were seen")
+// Lasting tasks fill all workers, and short tasks need most of a worker. If a share of each worker were
+// reserved instead of whole places, a short task of 12 cores would fit on none of them.
+TEST_CASE("lasting tasks leave whole places for short tasks like those seen before")
 {
     fixture f;
     for (int i = 0; i < 10; ++i)
@@ -142,10 +142,10 @@
     };
     const auto places = std::count_if(f.leader.workers().begin(), f.leader.workers().end(), free_for_short);
     CHECK(places >= 2);
-    CHECK(places <= 4); // and no more than are needed
+    CHECK(places <= 4); // no more than needed
 }
 
-TEST_CASE("a lasting job that has nothing running gets a place, whatever is kept for short ones")
+TEST_CASE("a lasting job without running tasks gets a place despite the room reserved for short tasks")
 {
     fixture f;
     f.announce("w1");
@@ -160,8 +160,8 @@
     const std::int64_t now_ms = day_ms + std::chrono::duration_cast<milliseconds>(f.now - start).count();
     (void)f.state.apply(job_of("lasting", now_ms, step_of(6, 5000, true)));
     settle(f, rows);
-    CHECK(runs_of(f, "lasting") <= 3); // one worker is kept
+    CHECK(runs_of(f, "lasting") <= 3); // one worker is reserved
     (void)f.state.apply(job_of("other", now_ms, step_of(6, 5000, true)));
     settle(f, rows);
-    CHECK(runs_of(f, "other") >= 1); // after 2 s it isn't left with nothing
+    CHECK(runs_of(f, "other") >= 1); // urgent after 2 s without a running task
 }
--- a/tests/src/unit-overload_controller.cpp
+++ b/tests/src/unit-overload_controller.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief When a leader counts as behind, and what it leaves for later then.
+/// @brief Overload control: when a leader counts as overloaded, and which load it sheds.
 
 #include "dispatcher_fixture.hpp"
 #include "plumspoke/dispatch/overload_controller.hpp"
@@ -15,8 +15,8 @@
 
 constexpr auto look_interval = milliseconds(25);
 
-/// @brief Looks that come on time, but for one in so many.
-/// @return how many of them refuse jobs
+/// @brief Records checks on time, except for one late check in every `late_one_in`.
+/// @return the number of checks after which jobs are refused
 int count_refusals(overload_controller& of, int looks, int late_one_in, duration late)
 {
     time_point now{seconds(1000)};
@@ -32,17 +32,17 @@
 
 } // namespace
 
-TEST_CASE("a leader that is late now and then keeps taking jobs")
+TEST_CASE("a leader that is occasionally late keeps accepting jobs")
 {
     overload_controller of;
     CHECK(count_refusals(of, 800, 36, milliseconds(160)) == 0);
 }
 
-TEST_CASE("a long pause and another one a second later are no reason to refuse jobs")
+TEST_CASE("two separate pauses within a second don't make the leader refuse jobs")
 {
     overload_controller of;
     const time_point start{seconds(1000)};
-    of.record(start, seconds(5)); // the process stood still
+    of.record(start, seconds(5)); // the process was suspended
     for (auto passed = look_interval; passed < milliseconds(950); passed += look_interval)
     {
         of.record(start + passed, duration(0));
@@ -52,7 +52,7 @@
     CHECK_FALSE(of.refuses_jobs(start + milliseconds(1500)));
 }
 
-TEST_CASE("a leader that is late all the time refuses jobs after a second, and takes them again")
+TEST_CASE("a constantly late leader refuses jobs after a second and recovers")
 {
     overload_controller of;
     time_point now{seconds(1000)};
@@ -74,7 +74,7 @@
     CHECK(of.starts_allowed() == 512);
 }
 
-TEST_CASE("while the leader is behind, work of low priority that has waited long gets a start all the same")
+TEST_CASE("an overloaded leader still starts work of low priority that has waited long")
 {
     fixture f;
     for (int i = 0; i < 40; ++i)
@@ -111,7 +111,7 @@
     CHECK(granted);
 }
 
-TEST_CASE("how much a leader that is behind may start counts within a step")
+TEST_CASE("the start limit of an overloaded leader applies within a step")
 {
     fixture f;
     for (int i = 0; i < 40; ++i)
@@ -132,7 +132,7 @@
     CHECK(f.starts_proposed() <= 8);
 }
 
-TEST_CASE("a leader that comes later and later asks workers whose tasks end less often")
+TEST_CASE("the delay of polls after ends grows with the lateness of the leader")
 {
     overload_controller of;
     time_point now{seconds(1000)};
@@ -144,7 +144,7 @@
     of.record(now, milliseconds(30));
     CHECK(gap() == milliseconds(80));
     of.record(now, milliseconds(90));
-    CHECK(gap() == milliseconds(290)); // halfway to what counts as late
+    CHECK(gap() == milliseconds(290)); // halfway to the lateness limit
     of.record(now, milliseconds(400));
     CHECK(gap() == milliseconds(500));
     for (int i = 0; i < 30; ++i)
--- a/tests/src/unit-step_duration_predictor.cpp
+++ b/tests/src/unit-step_duration_predictor.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief How long steps take, learned from those that ended, whatever the submitters' guesses are worth.
+/// @brief Prediction of step durations from ended steps, with submitters' estimates of varying accuracy.
 
 #include "plumspoke/dispatch/step_duration_predictor.hpp"
 
@@ -16,9 +16,9 @@
 constexpr double typical_ms = 1700;
 constexpr double spread = 0.5; // of the logarithm
 
-/// @brief The mean error of a prediction, as a factor.
-/// @param guess_error the deviation of the logarithm of a guess from that of the truth
-double mean_error(double guess_error)
+/// @brief Mean error of a prediction, as a factor.
+/// @param estimate_error standard deviation of the logarithmic error of the estimates
+double mean_error(double estimate_error)
 {
     std::mt19937_64 random(1);
     std::normal_distribution<double> normal;
@@ -27,33 +27,34 @@
     for (int i = 0; i < steps; ++i)
     {
         const double took = typical_ms * std::exp(spread * normal(random));
-        const auto guess = static_cast<std::uint32_t>(took * std::exp(guess_error * normal(random)));
-        error += i < steps / 2 ? 0 : std::abs(std::log(times.predict_ms("queue", guess) / took));
-        times.observe("queue", guess, took);
+        const auto estimate = static_cast<std::uint32_t>(took * std::exp(estimate_error * normal(random)));
+        error += i < steps / 2 ? 0 : std::abs(std::log(times.predict_ms("queue", estimate) / took));
+        times.observe("queue", estimate, took);
     }
     return std::exp(error / (steps - steps / 2.0));
 }
 
 } // namespace
 
-TEST_CASE("until a queue's steps have ended the submitter's guess counts")
+TEST_CASE("the submitter's estimate is used until steps of the queue have ended")
 {
     step_duration_predictor times;
     CHECK(times.predict_ms("queue", 500) == 500);
     times.observe("other", 500, 2000);
     CHECK(times.predict_ms("queue", 500) == 500);
-    CHECK(times.predict_ms("queue", 0) >= 1); // no guess: no time of zero
+    CHECK(times.predict_ms("queue", 0) >= 1); // without an estimate the prediction is not zero
 }
 
-TEST_CASE("guesses are believed as far as they were right before")
+TEST_CASE("estimates are weighted by their past accuracy")
 {
     CHECK(mean_error(0) < 1.1);
-    // Off by a factor of 2.5: the mean of the queue is better than the guess, which would be off by 2.05.
+    // Estimates are off by a factor of 2.5: the queue's mean is better than the estimate, which would be off
+    // by 2.05.
     CHECK(mean_error(0.9) < 1.5);
     CHECK(mean_error(1.5) < 1.55);
 }
 
-TEST_CASE("a queue whose work grows longer is followed")
+TEST_CASE("predictions follow a queue whose steps become longer")
 {
     step_duration_predictor times;
     for (int i = 0; i < 1000; ++i)
