--- a/include/plumspoke/dispatch/dispatcher.hpp
+++ b/include/plumspoke/dispatch/dispatcher.hpp
@@ -81,9 +81,9 @@
     void announced(time_point now, const fleet::announcement& heard);
 
     /// @return false if the worker is unknown and has to be announced in full
-    bool refresh_liveness(time_point now, const fleet::worker_life& worker);
+    bool refresh_liveness(time_point now, const fleet::worker_life& life);
 
-    void departed(time_point now, const fleet::worker_life& worker);
+    void departed(time_point now, const fleet::worker_life& life);
     void answered(time_point now, const sent_order& sent, const worker_answer& answer);
 
     /// @param accepted which starts were recorded; nullopt if the round was not committed
@@ -211,11 +211,11 @@
     void on(time_point now, const start_order& sent, time_point sent_at, const worker_answer& answer);
     void on(time_point now, const stop_order& sent, time_point sent_at, const worker_answer& answer);
     void on(time_point now, const pace_order& sent, time_point sent_at, const worker_answer& answer);
-    void note_begun(time_point now, const jobs::run_name& name);
-    void handle_accepted_start(time_point now, worker_view& on, run_view& run);
+    void mark_begun(time_point now, const jobs::run_name& name);
+    void handle_accepted_start(time_point now, worker_view& worker, run_view& run);
     void handle_unanswered_start(time_point now, run_view& run);
     void handle_expired_start(time_point now, run_view& run);
-    void handle_rejected_start(time_point now, worker_view& on, run_view& run, reply how);
+    void handle_rejected_start(time_point now, worker_view& worker, run_view& run, reply how);
     void fence_run(time_point now, run_view& run, jobs::run_end end_if_absent);
     worker_view* record_contact(time_point now, const recipient& to, const worker_answer& answer);
     void handle_other_life(time_point now, const recipient& asked, const worker_answer& answer);
--- a/src/dispatch/answers.cpp
+++ b/src/dispatch/answers.cpp
@@ -13,13 +13,10 @@
 namespace
 {
 
-constexpr auto commit_timeout =
-    milliseconds(400); // for the record of ends to commit; then the worker is polled again
+constexpr auto commit_timeout = milliseconds(400);  // until the worker is polled again without a commit
 constexpr auto unhealthy_pause = milliseconds(500); // no starts for an unhealthy worker
-constexpr auto no_room_pause =
-    milliseconds(150); // room of a stopped run is released within the stop's time limit
-constexpr auto initial_pause =
-    milliseconds(50); // before a silent worker is polled again; doubles with each unanswered poll
+constexpr auto no_room_pause = milliseconds(150);   // a stop releases room within its time limit
+constexpr auto initial_pause = milliseconds(50);    // before polling a silent worker again; doubles
 constexpr int max_pause_doublings = 3;
 constexpr auto stop_timeout = milliseconds(1200); // a stop takes at most 900 ms; the rest allows for the poll
 constexpr double success_decay = 0.5;             // factor on a worker's failure score after a success
@@ -208,7 +205,7 @@
         run_view* run = find_run_on(worker, row.name);
         if (run == nullptr || run->stage != run_stage::running)
         {
-            note_begun(now, row.name);
+            mark_begun(now, row.name);
         }
         if (run == nullptr || run->worker != worker.info.life)
         {
@@ -282,7 +279,7 @@
     const bool was_listed = run != nullptr && was_confirmed(*run);
     if (row.how != jobs::run_end::stopped || was_listed)
     {
-        note_begun(now, row.name);
+        mark_begun(now, row.name);
         return;
     }
     events_.push_back(logging::event("dispatch",
@@ -319,7 +316,8 @@
         const bool confirmed_before = run.stage == run_stage::running && run.confirmed_at < sent_at;
         if (confirmed_before && !run.stop_wanted)
         {
-            // It was running and is missing without an end: fence it before its task is started elsewhere.
+            // It was running and is missing without a reported end: fence it before its task is started
+            // elsewhere.
             fence_run(now, run, jobs::run_end::lost);
         }
     }
@@ -334,7 +332,7 @@
 {
     if (answer.how == reply::done)
     {
-        note_begun(now, sent.name);
+        mark_begun(now, sent.name);
     }
     worker_view* worker = record_contact(now, sent.to, answer);
     run_view* run = find_run(sent.name);
@@ -380,7 +378,7 @@
     handle_rejected_start(now, *worker, *run, answer.how);
 }
 
-void dispatcher::handle_accepted_start(time_point now, worker_view& on, run_view& run)
+void dispatcher::handle_accepted_start(time_point now, worker_view& worker, run_view& run)
 {
     run.start_unanswered = false;
     if (run.stage == run_stage::ordered)
@@ -394,9 +392,9 @@
                              std::chrono::duration_cast<duration>(now - run.recorded_at));
     }
     run.confirmed_at = now;
-    if (on.ends_proposed == on.ends_recorded)
+    if (worker.ends_proposed == worker.ends_recorded)
     {
-        on.next_poll_at = std::min(on.next_poll_at, now);
+        worker.next_poll_at = std::min(worker.next_poll_at, now);
     }
 }
 
@@ -421,15 +419,15 @@
     }
 }
 
-void dispatcher::handle_rejected_start(time_point now, worker_view& on, run_view& run, reply how)
+void dispatcher::handle_rejected_start(time_point now, worker_view& worker, run_view& run, reply how)
 {
     events_.push_back(logging::event("dispatch", "start_rejected", "A worker has rejected a start order.")
                           .with("job", run.name.task.job)
                           .with("step", run.name.task.step)
                           .with("index", run.name.task.index)
                           .with("attempt", run.name.attempt)
-                          .with("worker", on.info.life.id)
-                          .with("born_ms", on.info.life.born_ms)
+                          .with("worker", worker.info.life.id)
+                          .with("born_ms", worker.info.life.born_ms)
                           .with("reason", to_string(how)));
     if (run.start_unanswered || how == reply::superseded)
     {
--- a/src/dispatch/bookkeeping.cpp
+++ b/src/dispatch/bookkeeping.cpp
@@ -98,33 +98,33 @@
 
 void dispatcher::add_run(run_view added)
 {
-    worker_view& on = workers_.at(added.worker);
+    worker_view& worker = workers_.at(added.worker);
     jobs::room counted = added.needs;
     if (added.filler)
     {
-        on.filler_cpu_milli += counted.cpu_milli;
+        worker.filler_cpu_milli += counted.cpu_milli;
         counted.cpu_milli = 0;
     }
-    on.used += counted;
-    on.serving_runs += added.serving ? 1 : 0;
-    on.serving_cpu_milli += added.serving ? added.needs.cpu_milli : 0;
-    on.suspects += is_suspect(added.evidence) ? 1 : 0;
-    on.critical_suspects += is_critical_suspect(added.evidence) ? 1 : 0;
+    worker.used += counted;
+    worker.serving_runs += added.serving ? 1 : 0;
+    worker.serving_cpu_milli += added.serving ? added.needs.cpu_milli : 0;
+    worker.suspects += is_suspect(added.evidence) ? 1 : 0;
+    worker.critical_suspects += is_critical_suspect(added.evidence) ? 1 : 0;
     if (added.lasting)
     {
-        kept_room& room = kept_rooms_[on.info.service];
-        room.usable_milli -= usable_room(on);
-        on.lasting_cpu_milli += added.needs.cpu_milli;
-        room.usable_milli += usable_room(on);
+        kept_room& room = kept_rooms_[worker.info.service];
+        room.usable_milli -= usable_room(worker);
+        worker.lasting_cpu_milli += added.needs.cpu_milli;
+        room.usable_milli += usable_room(worker);
     }
     added.image_id = interference_.number_of(added.image);
     added.added_at = decided_at_;
     const jobs::run_name name = added.name;
-    added.on = &on;
+    added.on = &worker;
     added.siblings = step_stats_of(name.task);
     run_view& kept = runs_[name] = std::move(added);
-    on.runs.push_back(kept);
-    mark_changed(on);
+    worker.runs.push_back(kept);
+    mark_changed(worker);
     track_if_actionable(kept);
 }
 
@@ -171,21 +171,21 @@
         return;
     }
     const run_view& ended = found->second;
-    if (worker_view* on = find_worker(ended.worker); on != nullptr)
+    if (worker_view* worker = find_worker(ended.worker); worker != nullptr)
     {
         jobs::room counted = ended.needs;
         if (ended.filler)
         {
-            on->filler_cpu_milli -= counted.cpu_milli;
+            worker->filler_cpu_milli -= counted.cpu_milli;
             counted.cpu_milli = 0;
         }
-        on->used -= counted;
-        on->serving_runs -= ended.serving ? 1 : 0;
-        on->serving_cpu_milli -= ended.serving ? ended.needs.cpu_milli : 0;
-        on->suspects -= is_suspect(ended.evidence) ? 1 : 0;
-        on->critical_suspects -= is_critical_suspect(ended.evidence) ? 1 : 0;
-        on->lasting_cpu_milli -= ended.lasting ? ended.needs.cpu_milli : 0;
-        mark_changed(*on);
+        worker->used -= counted;
+        worker->serving_runs -= ended.serving ? 1 : 0;
+        worker->serving_cpu_milli -= ended.serving ? ended.needs.cpu_milli : 0;
+        worker->suspects -= is_suspect(ended.evidence) ? 1 : 0;
+        worker->critical_suspects -= is_critical_suspect(ended.evidence) ? 1 : 0;
+        worker->lasting_cpu_milli -= ended.lasting ? ended.needs.cpu_milli : 0;
+        mark_changed(*worker);
     }
     runs_.erase(found);
     room_changed_ = true;
--- a/src/dispatch/crashes.cpp
+++ b/src/dispatch/crashes.cpp
@@ -27,7 +27,7 @@
 constexpr double crashed_address_cost = 120'000;
 constexpr double beside_lasting_cost = 60'000; // lasting tasks would be unavailable until restarted
 constexpr double silence_cost =
-    60'000; // per second without an answer: an order to a dead worker is counted against the task
+    60'000; // per second without an answer: orders to dead workers count against a task
 // How long a suspect waits for a worker without another suspect. A new leader knows its workers after 1.1 s,
 // and a job without running tasks for 3 s counts as stuck.
 constexpr auto isolation_timeout = milliseconds(1500);
@@ -110,8 +110,7 @@
 {
     for (run_view& run : worker.runs)
     {
-        if (run.stage != run_stage::proposed) // otherwise its record is still in flight, and the start order
-                                              // will find no worker
+        if (run.stage != run_stage::proposed) // else its record is in flight; the order will find no worker
         {
             end_or_fence(now, run, jobs::run_end::lost, jobs::crash_sign::none, moved_to_next);
         }
--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -18,7 +18,8 @@
 constexpr int filler_pause_factor = 5;
 constexpr auto max_filler_pause = milliseconds(200);
 constexpr auto watch_interval = milliseconds(100); // workers report about once a second
-// Initial pace of fillers that an earlier leader may have slowed: they make progress without causing harm.
+// Initial pace of fillers that an earlier leader may have slowed: they neither stall for ever nor
+// cause harm at once.
 constexpr std::uint32_t inherited_pace = 60; // percent; below it a task would be moved
 
 } // namespace
--- a/src/dispatch/due_orders.cpp
+++ b/src/dispatch/due_orders.cpp
@@ -154,19 +154,19 @@
 
 void dispatcher::order_start(time_point now, run_view& run, const jobs::store& state, dispatch_output& out)
 {
-    worker_view* on = find_worker(run.worker);
+    worker_view* worker = find_worker(run.worker);
     const jobs::job* job = state.find(run.name.task.job);
     const jobs::task* task = state.find(run.name.task);
-    if (on == nullptr || job == nullptr || task == nullptr || !on->clock.known())
+    if (worker == nullptr || job == nullptr || task == nullptr || !worker->clock.known())
     {
         return;
     }
     start_order sent;
-    sent.to = recipient_of(*on);
+    sent.to = recipient_of(*worker);
     sent.fencing_token = term_;
     // As with polls, a lease that might reach a silent worker would postpone its certain lapse.
-    const bool renews = on->unanswered_calls == 0 || on->lease_sent_ms == 0;
-    sent.lease_until_ms = renews ? lease_for(now, *on) : on->lease_sent_ms;
+    const bool renews = worker->unanswered_calls == 0 || worker->lease_sent_ms == 0;
+    sent.lease_until_ms = renews ? lease_for(now, *worker) : worker->lease_sent_ms;
     sent.name = run.name;
     sent.payload = job->spec.payload;
     sent.saved = task->saved;
@@ -178,8 +178,8 @@
 
 void dispatcher::order_stop(time_point now, run_view& run, dispatch_output& out)
 {
-    const worker_view* on = find_worker(run.worker);
-    if (on == nullptr)
+    const worker_view* worker = find_worker(run.worker);
+    if (worker == nullptr)
     {
         return;
     }
@@ -187,7 +187,7 @@
     run.first_stop_at = run.stops_sent == 0 ? now : run.first_stop_at;
     ++run.stops_sent;
     ++counts_.stops_ordered;
-    out.orders.emplace_back(stop_order{recipient_of(*on), term_, run.name});
+    out.orders.emplace_back(stop_order{recipient_of(*worker), term_, run.name});
 }
 
 } // namespace plumspoke::dispatch
--- a/src/dispatch/rounds.cpp
+++ b/src/dispatch/rounds.cpp
@@ -14,8 +14,7 @@
 {
 
 constexpr auto placement_interval = milliseconds(100); // for conditions that change with time alone
-constexpr auto record_interval =
-    seconds(1); // between records of learned effects; a lost leader loses at most this much
+constexpr auto record_interval = seconds(1);           // a lost leader loses the effects learned since
 // Ended jobs are kept for minutes, so a second more is harmless; the check iterates over all jobs.
 constexpr auto forget_interval = milliseconds(1000);
 constexpr std::size_t max_forgotten_per_round = 200; // at least the number of jobs that end per second
@@ -115,7 +114,7 @@
     {
         return;
     }
-    // Ends of unknown runs need no record.
+    // Ends of runs that no task waits for need no record.
     for (const auto& [id, number] : empty.recorded_ends)
     {
         worker_view& worker = workers_.at(id);
@@ -146,7 +145,7 @@
     into.learned = interference_.take_changed();
 }
 
-void dispatcher::note_begun(time_point now, const jobs::run_name& name)
+void dispatcher::mark_begun(time_point now, const jobs::run_name& name)
 {
     if (begun_jobs_.empty())
     {
@@ -242,7 +241,8 @@
     }
 }
 
-// A caller waits for the end of each short task, and few workers run one, so their polls are not delayed.
+// A caller waits for the end of each short task, and few workers run one, so overload
+// doesn't delay these polls further.
 duration dispatcher::next_poll_delay(time_point now, const worker_view& worker) const
 {
     const bool has_short_task = std::any_of(worker.runs.begin(),
--- a/src/dispatch/watch.cpp
+++ b/src/dispatch/watch.cpp
@@ -124,8 +124,8 @@
         retry_unconfirmed_stop(now, run);
         return;
     }
-    worker_view& on = *run.on;
-    const bool silent = on.unanswered_calls > options_.max_unanswered_calls;
+    worker_view& worker = *run.on;
+    const bool silent = worker.unanswered_calls > options_.max_unanswered_calls;
     if (run.copies_allowed && silent && run.stage != run_stage::ending && is_on(mechanism::copies))
     {
         copy_wanted_.insert(run.name.task);
