--- a/tests/src/dispatcher_fixture.hpp
+++ b/tests/src/dispatcher_fixture.hpp
@@ -119,22 +119,22 @@
         return found;
     }
 
-    void answer(const order& what, worker_answer got)
+    void answer(const order& what, worker_answer response)
     {
-        if (got.how != reply::none)
+        if (response.how != reply::none)
         {
-            got.clock_ms = 5000 + std::chrono::duration_cast<milliseconds>(now - start).count();
+            response.clock_ms = 5000 + std::chrono::duration_cast<milliseconds>(now - start).count();
         }
-        leader.answered(now, {what, now}, got);
+        leader.answered(now, {what, now}, response);
     }
 
     /// @brief Answers the oldest open poll.
-    void answer_poll(worker_answer got)
+    void answer_poll(worker_answer response)
     {
         REQUIRE_FALSE(open_polls.empty());
         const poll_order sent = open_polls.front();
         open_polls.erase(open_polls.begin());
-        answer(sent, std::move(got));
+        answer(sent, std::move(response));
     }
 
     /// @brief Answers all open polls with these rows; one worker may stay silent.
@@ -142,17 +142,17 @@
     {
         for (const poll_order& one : std::exchange(open_polls, {}))
         {
-            worker_answer got;
-            got.how = one.to.worker.id == silent ? reply::none : reply::done;
+            worker_answer response;
+            response.how = one.to.worker.id == silent ? reply::none : reply::done;
             for (const running_row& row : rows)
             {
                 const run_view& run = leader.runs().at(row.name);
-                if (run.worker == one.to.worker && got.how == reply::done)
+                if (run.worker == one.to.worker && response.how == reply::done)
                 {
-                    got.running.push_back(row);
+                    response.running.push_back(row);
                 }
             }
-            answer(one, got);
+            answer(one, response);
         }
     }
 
--- a/tests/src/unit-crash_blame.cpp
+++ b/tests/src/unit-crash_blame.cpp
@@ -185,22 +185,22 @@
 
 TEST_CASE("a widespread crash is blamed on no task")
 {
-    recent_crashes of;
+    recent_crashes crashes;
     constexpr std::size_t workers = 40;
     for (int i = 0; i < 8; ++i)
     {
-        of.record(start, "address" + std::to_string(i));
+        crashes.record(start, "address" + std::to_string(i));
     }
-    CHECK_FALSE(of.is_widespread(start, 0, workers));
-    CHECK(of.is_widespread(start, 1, workers));
-    of.record(start, "address10");
-    CHECK(of.is_widespread(start, 0, workers));
-    CHECK_FALSE(of.is_widespread(start + seconds(6), 0, workers));
+    CHECK_FALSE(crashes.is_widespread(start, 0, workers));
+    CHECK(crashes.is_widespread(start, 1, workers));
+    crashes.record(start, "address10");
+    CHECK(crashes.is_widespread(start, 0, workers));
+    CHECK_FALSE(crashes.is_widespread(start + seconds(6), 0, workers));
 
     SECTION("and an address is no longer considered after a minute")
     {
-        CHECK(of.crashed_recently(start + seconds(60), "address10"));
-        CHECK_FALSE(of.crashed_recently(start + seconds(61), "address10"));
-        CHECK_FALSE(of.crashed_recently(start, "address11"));
+        CHECK(crashes.crashed_recently(start + seconds(60), "address10"));
+        CHECK_FALSE(crashes.crashed_recently(start + seconds(61), "address10"));
+        CHECK_FALSE(crashes.crashed_recently(start, "address11"));
     }
 }
--- a/tests/src/unit-decision_rate_limiter.cpp
+++ b/tests/src/unit-decision_rate_limiter.cpp
@@ -22,21 +22,21 @@
 
 TEST_CASE("a decision is deferred while little is left of the leader's lease")
 {
-    decision_rate_limiter pace;
-    CHECK_FALSE(pace.should_defer(start, milliseconds(600)));
-    CHECK_FALSE(pace.should_defer(start, milliseconds(250)));
-    CHECK(pace.should_defer(start, milliseconds(249)));
-    CHECK(pace.should_defer(start + milliseconds(150), milliseconds(100)));
-    CHECK_FALSE(pace.should_defer(start + milliseconds(175), milliseconds(580))); // renewed
+    decision_rate_limiter limiter;
+    CHECK_FALSE(limiter.should_defer(start, milliseconds(600)));
+    CHECK_FALSE(limiter.should_defer(start, milliseconds(250)));
+    CHECK(limiter.should_defer(start, milliseconds(249)));
+    CHECK(limiter.should_defer(start + milliseconds(150), milliseconds(100)));
+    CHECK_FALSE(limiter.should_defer(start + milliseconds(175), milliseconds(580))); // renewed
 }
 
 TEST_CASE("with constantly slow peers, decisions are still made")
 {
-    decision_rate_limiter pace;
+    decision_rate_limiter limiter;
     int decisions = 0;
     for (int ms = 0; ms < 2000; ms += 25)
     {
-        decisions += pace.should_defer(start + milliseconds(ms), milliseconds(200)) ? 0 : 1;
+        decisions += limiter.should_defer(start + milliseconds(ms), milliseconds(200)) ? 0 : 1;
     }
     CHECK(decisions >= 8);
     CHECK(decisions <= 12);
@@ -44,9 +44,9 @@
 
 TEST_CASE("a leader pauses for three times the duration of a decision, at most 50 ms")
 {
-    decision_rate_limiter pace;
-    pace.record(start, start + milliseconds(4));
-    CHECK(pace.next_at() == start + milliseconds(16));
-    pace.record(start, start + milliseconds(40));
-    CHECK(pace.next_at() == start + milliseconds(90));
+    decision_rate_limiter limiter;
+    limiter.record(start, start + milliseconds(4));
+    CHECK(limiter.next_at() == start + milliseconds(16));
+    limiter.record(start, start + milliseconds(40));
+    CHECK(limiter.next_at() == start + milliseconds(90));
 }
--- a/tests/src/unit-dispatcher.cpp
+++ b/tests/src/unit-dispatcher.cpp
@@ -169,10 +169,10 @@
     f.answer(sent, {reply::done, {}, {}, {}});
     f.decide();
     REQUIRE(f.open_polls.size() == 1);
-    worker_answer got;
-    got.how = reply::done;
-    got.finished.push_back({1, sent.name, jobs::run_end::done, ""});
-    f.answer_poll(got);
+    worker_answer response;
+    response.how = reply::done;
+    response.finished.push_back({1, sent.name, jobs::run_end::done, ""});
+    f.answer_poll(response);
     f.decide();
     CHECK(f.open_polls.empty()); // no poll with `ends_recorded` before the commit
     CHECK(f.rounds.size() == 1);
@@ -229,13 +229,13 @@
         f.decide();
         for (const poll_order& one : std::exchange(f.open_polls, {}))
         {
-            worker_answer got;
-            got.how = one.to.worker.id == "w2" ? reply::done : reply::none;
-            if (got.how == reply::done)
+            worker_answer response;
+            response.how = one.to.worker.id == "w2" ? reply::done : reply::none;
+            if (response.how == reply::done)
             {
-                got.finished.push_back({number, on_second[number - 1], jobs::run_end::done, ""});
+                response.finished.push_back({number, on_second[number - 1], jobs::run_end::done, ""});
             }
-            f.answer(one, got);
+            f.answer(one, response);
         }
         for (int i = 0; i < 3; ++i)
         {
@@ -259,10 +259,10 @@
     fixture f;
     f.announce("w1");
     f.decide();
-    worker_answer got;
-    got.how = reply::done;
-    got.running.push_back({{{"unknown", 0, 0, 0}, 4}, "", 10, 0});
-    f.answer_poll(got);
+    worker_answer response;
+    response.how = reply::done;
+    response.running.push_back({{{"unknown", 0, 0, 0}, 4}, "", 10, 0});
+    f.answer_poll(response);
     f.decide();
     REQUIRE(f.sent<stop_order>().size() == 1);
     CHECK(f.sent<stop_order>()[0].name.task.job == "unknown");
@@ -284,10 +284,10 @@
         const start_order sent = f.sent<start_order>().at(0);
         f.answer(sent, {reply::done, {}, {}, {}});
         f.decide();
-        worker_answer got;
-        got.how = reply::done;
-        got.finished.push_back({++number, sent.name, jobs::run_end::failed, ""});
-        f.answer_poll(got);
+        worker_answer response;
+        response.how = reply::done;
+        response.finished.push_back({++number, sent.name, jobs::run_end::failed, ""});
+        f.answer_poll(response);
         f.decide();
         (void)f.state.apply(jobs::cancel{id, day_ms});
         f.commit();
@@ -390,10 +390,10 @@
     const jobs::run_name run = f.leader.runs().begin()->first;
     const auto end_of_run = [&run]
     {
-        worker_answer got;
-        got.how = reply::done;
-        got.finished.push_back({1, run, jobs::run_end::lapsed, {}});
-        return got;
+        worker_answer response;
+        response.how = reply::done;
+        response.finished.push_back({1, run, jobs::run_end::lapsed, {}});
+        return response;
     };
 
     SECTION("its worker reports it: no lease was sent to it for 4.1 s")
--- a/tests/src/unit-dispatcher_overload.cpp
+++ b/tests/src/unit-dispatcher_overload.cpp
@@ -72,16 +72,16 @@
     f.decide(milliseconds(100)); // sends polls
     for (const poll_order& one : std::exchange(f.open_polls, {}))
     {
-        worker_answer got;
-        got.how = reply::done;
+        worker_answer response;
+        response.how = reply::done;
         for (const auto& [name, run] : f.leader.runs())
         {
             if (run.worker == one.to.worker && name.task.job == job)
             {
-                got.finished.push_back({got.finished.size() + 1, name, jobs::run_end::done, ""});
+                response.finished.push_back({response.finished.size() + 1, name, jobs::run_end::done, ""});
             }
         }
-        f.answer(one, got);
+        f.answer(one, response);
     }
     f.decide();
     f.commit();
--- a/tests/src/unit-overload_controller.cpp
+++ b/tests/src/unit-overload_controller.cpp
@@ -13,19 +13,19 @@
 namespace
 {
 
-constexpr auto look_interval = milliseconds(25);
+constexpr auto check_interval = milliseconds(25);
 
 /// @brief Records checks on time, except for one late check in every `late_one_in`.
 /// @return the number of checks after which jobs are refused
-int count_refusals(overload_controller& of, int looks, int late_one_in, duration late)
+int count_refusals(overload_controller& controller, int checks, int late_one_in, duration late)
 {
     time_point now{seconds(1000)};
     int refused = 0;
-    for (int i = 1; i <= looks; ++i)
+    for (int i = 1; i <= checks; ++i)
     {
-        now += look_interval;
-        of.record(now, i % late_one_in == 0 ? late : duration(0));
-        refused += of.refuses_jobs(now) ? 1 : 0;
+        now += check_interval;
+        controller.record(now, i % late_one_in == 0 ? late : duration(0));
+        refused += controller.refuses_jobs(now) ? 1 : 0;
     }
     return refused;
 }
@@ -34,44 +34,44 @@
 
 TEST_CASE("a leader that is occasionally late keeps accepting jobs")
 {
-    overload_controller of;
-    CHECK(count_refusals(of, 800, 36, milliseconds(160)) == 0);
+    overload_controller controller;
+    CHECK(count_refusals(controller, 800, 36, milliseconds(160)) == 0);
 }
 
 TEST_CASE("two separate pauses within a second don't make the leader refuse jobs")
 {
-    overload_controller of;
+    overload_controller controller;
     const time_point start{seconds(1000)};
-    of.record(start, seconds(5)); // the process was suspended
-    for (auto passed = look_interval; passed < milliseconds(950); passed += look_interval)
+    controller.record(start, seconds(5)); // the process was suspended
+    for (auto passed = check_interval; passed < milliseconds(950); passed += check_interval)
     {
-        of.record(start + passed, duration(0));
+        controller.record(start + passed, duration(0));
     }
-    of.record(start + milliseconds(950), milliseconds(160));
-    CHECK_FALSE(of.refuses_jobs(start + milliseconds(950)));
-    CHECK_FALSE(of.refuses_jobs(start + milliseconds(1500)));
+    controller.record(start + milliseconds(950), milliseconds(160));
+    CHECK_FALSE(controller.refuses_jobs(start + milliseconds(950)));
+    CHECK_FALSE(controller.refuses_jobs(start + milliseconds(1500)));
 }
 
 TEST_CASE("a constantly late leader refuses jobs after a second and recovers")
 {
-    overload_controller of;
+    overload_controller controller;
     time_point now{seconds(1000)};
     const time_point start = now;
     for (; now < start + milliseconds(1000); now += milliseconds(200))
     {
-        of.record(now, milliseconds(200));
-        CHECK_FALSE(of.refuses_jobs(now));
+        controller.record(now, milliseconds(200));
+        CHECK_FALSE(controller.refuses_jobs(now));
     }
-    of.record(now, milliseconds(200));
-    CHECK(of.refuses_jobs(now));
-    CHECK(of.starts_allowed() < 32);
+    controller.record(now, milliseconds(200));
+    CHECK(controller.refuses_jobs(now));
+    CHECK(controller.starts_allowed() < 32);
     for (int i = 0; i < 60; ++i)
     {
-        now += look_interval;
-        of.record(now, duration(0));
+        now += check_interval;
+        controller.record(now, duration(0));
     }
-    CHECK_FALSE(of.refuses_jobs(now));
-    CHECK(of.starts_allowed() == 512);
+    CHECK_FALSE(controller.refuses_jobs(now));
+    CHECK(controller.starts_allowed() == 512);
 }
 
 TEST_CASE("an overloaded leader still starts work of low priority that has waited long")
@@ -134,22 +134,22 @@
 
 TEST_CASE("the delay of polls after ends grows with the lateness of the leader")
 {
-    overload_controller of;
+    overload_controller controller;
     time_point now{seconds(1000)};
-    const auto gap = [&of]
+    const auto gap = [&controller]
     {
-        return of.poll_delay_after_ends(milliseconds(80), milliseconds(500));
+        return controller.poll_delay_after_ends(milliseconds(80), milliseconds(500));
     };
     CHECK(gap() == milliseconds(80));
-    of.record(now, milliseconds(30));
+    controller.record(now, milliseconds(30));
     CHECK(gap() == milliseconds(80));
-    of.record(now, milliseconds(90));
+    controller.record(now, milliseconds(90));
     CHECK(gap() == milliseconds(290)); // halfway to the lateness limit
-    of.record(now, milliseconds(400));
+    controller.record(now, milliseconds(400));
     CHECK(gap() == milliseconds(500));
     for (int i = 0; i < 30; ++i)
     {
-        of.record(now += look_interval, duration(0));
+        controller.record(now += check_interval, duration(0));
     }
     CHECK(gap() == milliseconds(80));
 }
--- a/tests/src/unit-step_duration_predictor.cpp
+++ b/tests/src/unit-step_duration_predictor.cpp
@@ -22,14 +22,14 @@
 {
     std::mt19937_64 random(1);
     std::normal_distribution<double> normal;
-    step_duration_predictor times;
+    step_duration_predictor predictor;
     double error = 0;
     for (int i = 0; i < steps; ++i)
     {
         const double took = typical_ms * std::exp(spread * normal(random));
         const auto estimate = static_cast<std::uint32_t>(took * std::exp(estimate_error * normal(random)));
-        error += i < steps / 2 ? 0 : std::abs(std::log(times.predict_ms("queue", estimate) / took));
-        times.observe("queue", estimate, took);
+        error += i < steps / 2 ? 0 : std::abs(std::log(predictor.predict_ms("queue", estimate) / took));
+        predictor.observe("queue", estimate, took);
     }
     return std::exp(error / (steps - steps / 2.0));
 }
@@ -38,11 +38,11 @@
 
 TEST_CASE("the submitter's estimate is used until steps of the queue have ended")
 {
-    step_duration_predictor times;
-    CHECK(times.predict_ms("queue", 500) == 500);
-    times.observe("other", 500, 2000);
-    CHECK(times.predict_ms("queue", 500) == 500);
-    CHECK(times.predict_ms("queue", 0) >= 1); // without an estimate the prediction is not zero
+    step_duration_predictor predictor;
+    CHECK(predictor.predict_ms("queue", 500) == 500);
+    predictor.observe("other", 500, 2000);
+    CHECK(predictor.predict_ms("queue", 500) == 500);
+    CHECK(predictor.predict_ms("queue", 0) >= 1); // without an estimate the prediction is not zero
 }
 
 TEST_CASE("estimates are weighted by their past accuracy")
@@ -56,15 +56,15 @@
 
 TEST_CASE("predictions follow a queue whose steps become longer")
 {
-    step_duration_predictor times;
+    step_duration_predictor predictor;
     for (int i = 0; i < 1000; ++i)
     {
-        times.observe("queue", 1000, 1000);
+        predictor.observe("queue", 1000, 1000);
     }
     for (int i = 0; i < 500; ++i)
     {
-        times.observe("queue", 1000, 3000);
+        predictor.observe("queue", 1000, 3000);
     }
-    CHECK(times.predict_ms("queue", 1000) > 2500);
-    CHECK(times.predict_ms("queue", 1000) <= 3000);
+    CHECK(predictor.predict_ms("queue", 1000) > 2500);
+    CHECK(predictor.predict_ms("queue", 1000) <= 3000);
 }
