--- a/include/plumspoke/dispatch/dispatcher.hpp
+++ b/include/plumspoke/dispatch/dispatcher.hpp
@@ -78,7 +78,7 @@
 
     /// @name events
     /// @{
-    void announced(time_point now, const fleet::announcement& heard);
+    void announced(time_point now, const fleet::announcement& announcement);
 
     /// @return false if the worker is unknown and has to be announced in full
     bool refresh_liveness(time_point now, const fleet::worker_life& life);
@@ -187,7 +187,7 @@
     [[nodiscard]] time_point lease_lapse_time(const worker_view& worker) const;
     void remove_silent_workers(time_point now);
     void remove_life_from_address(const worker_view& worker);
-    void poll_other_lives(time_point now, const fleet::announcement& heard);
+    void poll_other_lives(time_point now, const fleet::announcement& announcement);
 
     // ---- bookkeeping (bookkeeping.cpp)
     [[nodiscard]] run_view* find_run(const jobs::run_name& name) noexcept;
--- a/src/dispatch/crashes.cpp
+++ b/src/dispatch/crashes.cpp
@@ -75,8 +75,8 @@
                           const std::optional<fleet::worker_life>& next)
 {
     // A life known only from a late announcement cannot have crashed now.
-    const bool was_there = worker.contacted || !worker.runs.empty();
-    const bool crashed = how == life_end_cause::crash && !is_leaving(worker) && was_there;
+    const bool was_in_use = worker.contacted || !worker.runs.empty();
+    const bool crashed = how == life_end_cause::crash && !is_leaving(worker) && was_in_use;
     if (!worker.life_ended)
     {
         events_.push_back(logging::event("dispatch", "worker_over", "The life of a worker has ended.")
@@ -89,14 +89,14 @@
                               .with("runs", static_cast<std::int64_t>(worker.runs.size())));
     }
     run_names moved_to_next;
-    run_names* const late = next.has_value() ? &moved_to_next : nullptr;
+    run_names* const to_fence = next.has_value() ? &moved_to_next : nullptr;
     if (crashed)
     {
-        end_crashed_runs(now, worker, late);
+        end_crashed_runs(now, worker, to_fence);
     }
     else
     {
-        end_lost_runs(now, worker, late);
+        end_lost_runs(now, worker, to_fence);
     }
     for (const jobs::run_name& name : moved_to_next)
     {
@@ -181,9 +181,9 @@
         }
         // An unanswered order was often sent to a worker that had already crashed.
         const bool blamed = was_confirmed(run) && run.evidence.blamed == blamed_before;
-        const bool innocent = widespread && run.survived_start;
+        const bool not_at_fault = widespread && run.survived_start;
         const jobs::crash_sign unexplained = blamed ? jobs::crash_sign::blamed : jobs::crash_sign::counted;
-        const jobs::crash_sign sign = innocent ? jobs::crash_sign::none : unexplained;
+        const jobs::crash_sign sign = not_at_fault ? jobs::crash_sign::none : unexplained;
         end_or_fence(now, run, jobs::run_end::crashed, sign, moved_to_next);
     }
     if (!worker.life_ended)
@@ -196,9 +196,9 @@
 jobs::crash_sign dispatcher::crash_sign_of_lapse(time_point now, const run_view& run, bool widespread) const
 {
     const bool sent = may_have_begun(run);
-    const bool innocent = widespread && run.survived_start;
-    return sent && !innocent && is_announcement_overdue(now, *run.on) ? jobs::crash_sign::counted
-                                                                      : jobs::crash_sign::none;
+    const bool not_at_fault = widespread && run.survived_start;
+    return sent && !not_at_fault && is_announcement_overdue(now, *run.on) ? jobs::crash_sign::counted
+                                                                          : jobs::crash_sign::none;
 }
 
 bool dispatcher::is_announcement_overdue(time_point now, const worker_view& worker)
--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -97,22 +97,22 @@
 
 // ---- events ------------------------------------------------------------------------------------
 
-void dispatcher::announced(time_point now, const fleet::announcement& heard)
+void dispatcher::announced(time_point now, const fleet::announcement& announcement)
 {
     if (!leading())
     {
         return;
     }
-    worker_view& worker = find_or_add_worker(heard.life);
-    if (worker.announced && heard.sequence < worker.info.sequence)
+    worker_view& worker = find_or_add_worker(announcement.life);
+    if (worker.announced && announcement.sequence < worker.info.sequence)
     {
         return;
     }
     const bool was_draining = worker.announced && worker.info.state == fleet::worker_state::draining;
     const bool first = !worker.announced;
-    const bool is_news = first || !worker.info.says_the_same(heard) ||
+    const bool is_news = first || !worker.info.says_the_same(announcement) ||
                          now >= worker.announced_at + options_.announcement_timeout;
-    worker.info = heard;
+    worker.info = announcement;
     worker.announced = true;
     worker.announced_at = now;
     if (is_news)
@@ -124,39 +124,39 @@
     {
         worker.next_poll_at = std::min(worker.next_poll_at, now);
         events_.push_back(logging::event("dispatch", "worker_known", "A worker has announced itself.")
-                              .with("worker", heard.life.id)
-                              .with("born_ms", heard.life.born_ms)
-                              .with("address", heard.address)
-                              .with("rack", heard.rack));
-        poll_other_lives(now, heard);
+                              .with("worker", announcement.life.id)
+                              .with("born_ms", announcement.life.born_ms)
+                              .with("address", announcement.address)
+                              .with("rack", announcement.rack));
+        poll_other_lives(now, announcement);
     }
-    const bool goes = heard.state == fleet::worker_state::doubtful && was_draining;
-    if (heard.state == fleet::worker_state::gone || goes)
+    const bool has_left = announcement.state == fleet::worker_state::doubtful && was_draining;
+    if (announcement.state == fleet::worker_state::gone || has_left)
     {
-        departed(now, heard.life);
+        departed(now, announcement.life);
         return;
     }
-    if (heard.state == fleet::worker_state::doubtful)
+    if (announcement.state == fleet::worker_state::doubtful)
     {
         worker.next_poll_at = std::min(worker.next_poll_at, now);
     }
-    if (heard.state == fleet::worker_state::draining && !was_draining)
+    if (announcement.state == fleet::worker_state::draining && !was_draining)
     {
         events_.push_back(logging::event("dispatch", "worker_draining", "A worker is leaving.")
-                              .with("worker", heard.life.id)
-                              .with("born_ms", heard.life.born_ms)
-                              .with("time_left_ms", heard.time_left_ms));
+                              .with("worker", announcement.life.id)
+                              .with("born_ms", announcement.life.born_ms)
+                              .with("time_left_ms", announcement.time_left_ms));
         next_watch_at_ = now;
     }
 }
 
-void dispatcher::poll_other_lives(time_point now, const fleet::announcement& heard)
+void dispatcher::poll_other_lives(time_point now, const fleet::announcement& announcement)
 {
-    std::set<fleet::worker_life>& lives = lives_at_[heard.address];
-    lives.insert(heard.life);
+    std::set<fleet::worker_life>& lives = lives_at_[announcement.address];
+    lives.insert(announcement.life);
     for (const fleet::worker_life& life : lives)
     {
-        if (worker_view* other = find_worker(life); other != nullptr && life != heard.life)
+        if (worker_view* other = find_worker(life); other != nullptr && life != announcement.life)
         {
             other->next_poll_at = now; // its answer shows whether the earlier life has ended
         }
--- a/src/dispatch/due_orders.cpp
+++ b/src/dispatch/due_orders.cpp
@@ -63,13 +63,13 @@
         end_life(now, worker, life_end_cause::departure);
         return false;
     }
-    const bool has_something = !worker.runs.empty() || worker.ends_proposed > worker.ends_acknowledged;
-    if (has_something && now >= lease_lapse_time(worker))
+    const bool needs_polls = !worker.runs.empty() || worker.ends_proposed > worker.ends_acknowledged;
+    if (needs_polls && now >= lease_lapse_time(worker))
     {
         end_lapsed_runs(now, worker);
     }
     // A silent worker without runs is polled further; otherwise it would count as silent for ever.
-    const bool wanted = has_something || (worker.announced && !worker.contacted) ||
+    const bool wanted = needs_polls || (worker.announced && !worker.contacted) ||
                         (is_present(now, worker) && worker.unanswered_calls > 0);
     return !worker.poll_in_flight && wanted && now >= worker.next_poll_at;
 }
@@ -86,13 +86,13 @@
         // for ever.
         sent.lease_until_ms = lease_for(now, worker);
     }
-    const bool calm =
+    const bool may_wait =
         worker.contacted && worker.unanswered_calls == 0 && worker.ends_proposed == worker.ends_recorded;
-    const bool watched = !overload_.is_late(now) && wants_new_reports(worker);
-    milliseconds wait = watched ? options_.watched_poll_wait : options_.poll_wait;
+    const bool needs_new_report = !overload_.is_late(now) && wants_new_reports(worker);
+    milliseconds wait = needs_new_report ? options_.watched_poll_wait : options_.poll_wait;
     // Shows early that a suspect survived its start, so that a widespread crash is not counted against it.
     wait = worker.suspects > 0 && !overload_.is_late(now) ? options_.suspect_poll_wait : wait;
-    sent.wait_ms = calm ? wait.count() : 0;
+    sent.wait_ms = may_wait ? wait.count() : 0;
     worker.poll_in_flight = true;
     worker.poll_sent_at = now;
     ++counts_.polls;
--- a/src/dispatch/watch.cpp
+++ b/src/dispatch/watch.cpp
@@ -138,8 +138,8 @@
         move_run(now, run, "it would disturb what serves here");
         return;
     }
-    const bool judged = run.stage == run_stage::running && !silent && run.pace_percent >= whole_percent;
-    if (!judged || run.gang || !is_on(mechanism::straggler_moves))
+    const bool is_checked = run.stage == run_stage::running && !silent && run.pace_percent >= whole_percent;
+    if (!is_checked || run.gang || !is_on(mechanism::straggler_moves))
     {
         return;
     }
@@ -154,16 +154,16 @@
     {
         return;
     }
-    const double elapsed =
+    const double elapsed_ms =
         std::chrono::duration<double, std::milli>(run.confirmed_at - run.started_at).count();
-    const double left =
-        elapsed * static_cast<double>(whole_percent - run.percent) / static_cast<double>(run.percent);
-    const double again = run.siblings->mean_ms * (run.saves_progress && !run.saved.empty() ? 0.5 : 1.0);
-    const double extra = std::chrono::duration<double, std::milli>(options_.straggler_margin).count();
+    const double remaining_ms =
+        elapsed_ms * static_cast<double>(whole_percent - run.percent) / static_cast<double>(run.percent);
+    const double restart_ms = run.siblings->mean_ms * (run.saves_progress && !run.saved.empty() ? 0.5 : 1.0);
+    const double margin_ms = std::chrono::duration<double, std::milli>(options_.straggler_margin).count();
     // Fillers slow down while others use their processors: the factor is larger, and the worker is not
     // penalized.
     const double factor = options_.straggler_factor * (run.filler ? filler_straggler_factor : 1);
-    if (left > factor * again + extra && (!run.filler || !run.saved.empty()))
+    if (remaining_ms > factor * restart_ms + margin_ms && (!run.filler || !run.saved.empty()))
     {
         move_straggling_run(now, run);
     }
@@ -261,11 +261,12 @@
             continue;
         }
         const jobs::step_spec& spec = job->spec.steps[run.name.task.step];
-        const double elapsed = std::chrono::duration<double, std::milli>(now - run.started_at).count();
-        const double needed = run.percent > 0 ? elapsed * static_cast<double>(whole_percent - run.percent) /
-                                                    static_cast<double>(run.percent)
-                                              : static_cast<double>(spec.estimate_ms);
-        if (!spec.lasting && needed < static_cast<double>(left_ms))
+        const double elapsed_ms = std::chrono::duration<double, std::milli>(now - run.started_at).count();
+        const double needed_ms = run.percent > 0
+                                     ? elapsed_ms * static_cast<double>(whole_percent - run.percent) /
+                                           static_cast<double>(run.percent)
+                                     : static_cast<double>(spec.estimate_ms);
+        if (!spec.lasting && needed_ms < static_cast<double>(left_ms))
         {
             continue; // it will end before its worker leaves
         }
@@ -288,13 +289,13 @@
     std::int64_t filler_cpu = 0;
     std::int64_t paced = 0;
     std::int64_t silent = 0;
-    std::int64_t aside = 0;
+    std::int64_t set_aside = 0;
     for (const auto& [id, worker] : workers_)
     {
         usable += is_usable(now, worker, false) ? 1 : 0;
         serving += worker.serving_runs > 0 ? 1 : 0;
         silent += worker.unanswered_calls > options_.max_unanswered_calls ? 1 : 0;
-        aside += now < worker.set_aside_until ? 1 : 0;
+        set_aside += now < worker.set_aside_until ? 1 : 0;
         whole_cpu += worker.announced ? worker.info.room.cpu_milli : 0;
         used_cpu += worker.used.cpu_milli;
         filler_cpu += worker.filler_cpu_milli;
@@ -311,7 +312,7 @@
                           .with("usable", usable)
                           .with("serving", serving)
                           .with("silent", silent)
-                          .with("set_aside", aside)
+                          .with("set_aside", set_aside)
                           .with("cpu_milli", whole_cpu)
                           .with("used_cpu_milli", used_cpu)
                           .with("filler_cpu_milli", filler_cpu));
--- a/tests/src/dispatcher_fixture.hpp
+++ b/tests/src/dispatcher_fixture.hpp
@@ -67,8 +67,8 @@
     /// @brief Whether a worker in this life would carry out an order to that recipient.
     [[nodiscard]] static bool reaches(const recipient& to, const fleet::worker_life& life)
     {
-        const bool is_told = to.worker.born_ms != 0;
-        return to.worker.id == life.id && (!is_told || to.worker == life);
+        const bool has_birth_time = to.worker.born_ms != 0;
+        return to.worker.id == life.id && (!has_birth_time || to.worker == life);
     }
 
     /// @brief Advances the time, decides and keeps the orders; rounds wait for commit().
@@ -86,9 +86,9 @@
         orders.clear();
         for (order& one : out.orders)
         {
-            if (const auto* hold = std::get_if<poll_order>(&one); hold != nullptr)
+            if (const auto* poll = std::get_if<poll_order>(&one); poll != nullptr)
             {
-                open_polls.push_back(*hold);
+                open_polls.push_back(*poll);
             }
             else
             {
--- a/tests/src/unit-dispatcher.cpp
+++ b/tests/src/unit-dispatcher.cpp
@@ -103,20 +103,20 @@
     f.answer(f.sent<start_order>().at(0), {reply::done, {}, {}, {}});
     const time_point last_contact = f.now;
     const dispatch_options defaults;
-    std::size_t told_begun = 0;
+    std::size_t begun_records = 0;
     while (f.rounds.empty() && f.now < last_contact + seconds(20))
     {
         f.decide(milliseconds(50));
         f.answer_polls({}, "w1");
         if (!f.rounds.empty() && !f.rounds[0].command.begun.empty())
         {
-            ++told_begun;
+            ++begun_records;
             CHECK(f.rounds[0].command.ends.empty());
             CHECK(f.rounds[0].command.starts.empty());
             f.commit();
         }
     }
-    CHECK(told_begun == 1); // the only other record: the worker has begun the job
+    CHECK(begun_records == 1); // the only other record: the worker has begun the job
     REQUIRE_FALSE(f.rounds.empty());
     REQUIRE(f.rounds[0].command.ends.size() == 1);
     CHECK(f.rounds[0].command.ends[0].how == jobs::run_end::lapsed);
--- a/tests/src/unit-overload_controller.cpp
+++ b/tests/src/unit-overload_controller.cpp
@@ -136,20 +136,20 @@
 {
     overload_controller controller;
     time_point now{seconds(1000)};
-    const auto gap = [&controller]
+    const auto delay = [&controller]
     {
         return controller.poll_delay_after_ends(milliseconds(80), milliseconds(500));
     };
-    CHECK(gap() == milliseconds(80));
+    CHECK(delay() == milliseconds(80));
     controller.record(now, milliseconds(30));
-    CHECK(gap() == milliseconds(80));
+    CHECK(delay() == milliseconds(80));
     controller.record(now, milliseconds(90));
-    CHECK(gap() == milliseconds(290)); // halfway to the lateness limit
+    CHECK(delay() == milliseconds(290)); // halfway to the lateness limit
     controller.record(now, milliseconds(400));
-    CHECK(gap() == milliseconds(500));
+    CHECK(delay() == milliseconds(500));
     for (int i = 0; i < 30; ++i)
     {
         controller.record(now += check_interval, duration(0));
     }
-    CHECK(gap() == milliseconds(80));
+    CHECK(delay() == milliseconds(80));
 }
