--- a/src/dispatch/watch.cpp
+++ b/src/dispatch/watch.cpp
@@ -1,9 +1,9 @@
 /// @file
-/// @brief Runs that stand still or lag, and workers that leave.
+/// @brief Detection of stalled runs and stragglers, draining workers, and the periodic summary.
 
 #include "pace_limits.hpp"
 #include "plumspoke/dispatch/dispatcher.hpp"
-#include "repeated_blame.hpp"
+#include "repeated_failure_weight.hpp"
 
 #include <algorithm>
 
@@ -13,51 +13,51 @@
 namespace
 {
 
-constexpr std::int64_t least_measured_percent = 3;     // below this a speed is mostly rounding
-constexpr duration shortest_sweep = milliseconds(100); // workers' reports come about once a second
-// For each run, which bounds the share of a processor that looking at all of them takes.
-constexpr duration sweep_share = std::chrono::microseconds(40);
-constexpr auto summary_interval = seconds(2);  // short enough to see a disturbance of a few seconds
-constexpr auto cleaning_interval = seconds(1); // of what is kept for jobs that have ended
-// For a poll's answer that lists a stopped run's end, or doesn't list the run any more.
-constexpr auto stop_report_timeout = milliseconds(2500);
-constexpr auto moved_after = milliseconds(200); // a move costs about 0.4 s: the saved work is restored
-constexpr std::size_t most_moves = 2;         // of one task: where everything is full, moving on helps nobody
-constexpr int most_straggler_moves = 2;       // of one task: slow on a third worker it is slow by nature
-constexpr int max_timeout_doublings = 6;      // 1.6 s grow to 102 s
-constexpr double filler_straggler_factor = 2; // a filler lags where others use their processors
+constexpr std::int64_t min_measured_percent = 3;           // below this, the speed is dominated by rounding
+constexpr duration min_sweep_interval = milliseconds(100); // workers report about once a second
+// Interval per run, which bounds the share of a processor that checking all runs takes.
+constexpr duration sweep_interval_per_run = std::chrono::microseconds(40);
+constexpr auto summary_interval = seconds(2);  // short enough to show a disturbance of a few seconds
+constexpr auto cleaning_interval = seconds(1); // of state kept for ended jobs
+// Limit for a poll's answer that lists the end of a stopped run or no longer lists the run.
+constexpr auto stop_confirmation_timeout = milliseconds(2500);
+constexpr auto move_delay = milliseconds(200); // a move costs about 0.4 s to restore the saved work
+constexpr std::size_t max_moves = 2;           // per task: on a full fleet further moves don't help
+constexpr int max_straggler_moves = 2;   // per task: one that is slow on three workers is inherently slow
+constexpr int max_timeout_doublings = 6; // from 1.6 s to 102 s
+constexpr double filler_straggler_factor = 2; // fillers are slower while others use their processors
 
 } // namespace
 
-// The more runs, the less often: their figures come with polls, once or twice a second.
+// Longer with more runs; their figures arrive with polls, once or twice a second.
 duration dispatcher::sweep_interval() const noexcept
 {
-    return std::max(shortest_sweep, sweep_share * static_cast<std::int64_t>(runs_.size()));
+    return std::max(min_sweep_interval, sweep_interval_per_run * static_cast<std::int64_t>(runs_.size()));
 }
 
 void dispatcher::watch_runs(time_point now, const jobs::store& state)
 {
     note_references();
-    for (auto& [name, of] : runs_)
+    for (auto& [name, run] : runs_)
     {
-        note_held_run(now, of);
-        watch_run(now, of);
-        stop_needless_copy(of, state);
-        attend(of);
+        note_held_run(now, run);
+        watch_run(now, run);
+        stop_redundant_copy(run, state);
+        track_if_actionable(run);
     }
 }
 
 void dispatcher::watch_workers(time_point now, const jobs::store& state)
 {
-    for (worker_view* of : all_workers())
+    for (worker_view* worker : all_workers())
     {
-        if (of->serving_runs > 0 && of->filler_cpu_milli > 0)
+        if (worker->serving_runs > 0 && worker->filler_cpu_milli > 0)
         {
-            guard_target(now, *of);
+            guard_target(now, *worker);
         }
-        if (of->announced && of->info.state == fleet::worker_state::draining)
+        if (worker->announced && worker->info.state == fleet::worker_state::draining)
         {
-            watch_draining(now, *of, state);
+            watch_draining(now, *worker, state);
         }
     }
     if (now >= next_cleaning_at_)
@@ -79,13 +79,13 @@
                   {
                       return is_over(entry.first.job);
                   });
-    retry_pauses_.forget_jobs(is_over);
+    retry_backoff_.erase_jobs(is_over);
     std::erase_if(slow_moves_,
                   [&](const auto& entry)
                   {
                       return is_over(entry.first.job);
                   });
-    std::erase_if(apart_since_,
+    std::erase_if(isolation_wait_since_,
                   [&](const auto& entry)
                   {
                       return is_over(entry.first.job);
@@ -102,79 +102,81 @@
                   });
 }
 
-void dispatcher::stop_needless_copy(run_view& of, const jobs::store& state)
+void dispatcher::stop_redundant_copy(run_view& run, const jobs::store& state)
 {
-    if (!of.copies_allowed || of.gang)
+    if (!run.copies_allowed || run.gang)
     {
         return;
     }
-    const jobs::task* task = state.find(of.name.task);
+    const jobs::task* task = state.find(run.name.task);
     if (task != nullptr && task->phase == jobs::task_phase::done)
     {
-        of.stop_wanted = true; // a copy was faster
+        run.stop_wanted = true; // a copy finished first
     }
 }
 
-// For each run ten times a second: it looks nothing up by name. Runs of jobs that have ended are to be
-// stopped and are passed over.
-void dispatcher::watch_run(time_point now, run_view& of)
+// Called for each run up to ten times a second, so it avoids lookups by name. Runs of ended jobs are already
+// to be stopped and are skipped.
+void dispatcher::watch_run(time_point now, run_view& run)
 {
-    if (of.stop_wanted)
+    if (run.stop_wanted)
     {
-        retry_unreported_stop(now, of);
+        retry_unconfirmed_stop(now, run);
         return;
     }
-    worker_view& on = *of.on;
-    const bool silent = on.silent_calls > options_.max_silent_calls;
-    if (of.copies_allowed && silent && of.stage != run_stage::ending && is_on(mechanism::copies))
+    worker_view& worker = *run.on;
+    const bool silent = worker.unanswered_calls > options_.max_unanswered_calls;
+    if (run.copies_allowed && silent && run.stage != run_stage::ending && is_on(mechanism::copies))
     {
-        copy_wanted_.insert(of.name.task);
+        copy_wanted_.insert(run.name.task);
         return;
     }
-    if (of.filler && of.stage == run_stage::running && of.wanted_pace < moved_pace && !of.saved.empty() &&
-        now > of.paced_since + moved_after && failed_on_[of.name.task].size() < most_moves)
+    if (run.filler && run.stage == run_stage::running && run.wanted_pace < moved_pace && !run.saved.empty() &&
+        now > run.slowed_since + move_delay && failed_on_[run.name.task].size() < max_moves)
     {
         ++counts_.moved_pace;
-        move_run(now, of, "it would disturb what serves here");
+        move_run(now, run, "it would disturb what serves here");
         return;
     }
-    const bool judged = of.stage == run_stage::running && !silent && of.pace_percent >= whole_percent;
-    if (!judged || of.gang || !is_on(mechanism::straggler_moves))
+    const bool is_checked = run.stage == run_stage::running && !silent && run.pace_percent >= whole_percent;
+    if (!is_checked || run.gang || !is_on(mechanism::straggler_moves))
     {
         return;
     }
-    const bool at_work = of.lasting && of.percent >= whole_percent;
-    const bool reported = of.confirmed_at > of.progress_at + options_.standstill / 2;
-    if (!at_work && reported && now > of.progress_at + options_.standstill)
+    const bool at_work = run.lasting && run.percent >= whole_percent;
+    const bool reported = run.confirmed_at > run.progress_at + options_.stall_timeout / 2;
+    if (!at_work && reported && now > run.progress_at + options_.stall_timeout)
     {
-        move_standing(now, of);
+        move_stalled_run(now, run);
         return;
     }
-    if (of.lasting || of.siblings->done == 0 || of.percent < least_measured_percent)
+    if (run.lasting || run.siblings->done == 0 || run.percent < min_measured_percent)
     {
         return;
     }
-    const double elapsed = std::chrono::duration<double, std::milli>(of.confirmed_at - of.started_at).count();
-    const double left =
-        elapsed * static_cast<double>(whole_percent - of.percent) / static_cast<double>(of.percent);
-    const double again = of.siblings->mean_ms * (of.saves_progress && !of.saved.empty() ? 0.5 : 1.0);
-    const double extra = std::chrono::duration<double, std::milli>(options_.straggler_extra).count();
-    // A filler is slow where others use their processors: it is moved for much, and its worker not blamed.
-    const double factor = options_.straggler_factor * (of.filler ? filler_straggler_factor : 1);
-    if (left > factor * again + extra && (!of.filler || !of.saved.empty()))
+    const double elapsed_ms =
+        std::chrono::duration<double, std::milli>(run.confirmed_at - run.started_at).count();
+    const double remaining_ms =
+        elapsed_ms * static_cast<double>(whole_percent - run.percent) / static_cast<double>(run.percent);
+    const double restart_ms = run.siblings->mean_ms * (run.saves_progress && !run.saved.empty() ? 0.5 : 1.0);
+    const double margin_ms = std::chrono::duration<double, std::milli>(options_.straggler_margin).count();
+    // Fillers slow down while others use their processors: the factor is larger, and the worker is not
+    // penalized.
+    const double factor = options_.straggler_factor * (run.filler ? filler_straggler_factor : 1);
+    if (remaining_ms > factor * restart_ms + margin_ms && (!run.filler || !run.saved.empty()))
     {
-        move_straggler(now, of);
+        move_straggling_run(now, run);
     }
 }
 
-// Nothing else doubts an acknowledgement while polls go unanswered.
-void dispatcher::retry_unreported_stop(time_point now, run_view& of)
+// The only check of an acknowledgement while polls are unanswered.
+void dispatcher::retry_unconfirmed_stop(time_point now, run_view& run)
 {
-    if (of.stop_acknowledged_at.has_value() &&
-        now > std::max(*of.stop_acknowledged_at, of.next_stop_at) + stop_report_timeout)
+    if (run.stop_acknowledged_at.has_value() &&
+        now > std::max(*run.stop_acknowledged_at, run.next_stop_at) + stop_confirmation_timeout)
     {
-        of.stop_unreported = true;
-        attend(of);
+        run.stop_unconfirmed = true;
+        track_if_actionable(run);
     }
 }
 
@@ -184,71 +186,73 @@
     return found == slow_moves_.end() ? 0 : found->second;
 }
 
-// What stands still wherever it runs must not be moved for ever, nor set sound workers aside: each move
-// doubles the timeout, and only the first worker gets the whole blame.
-void dispatcher::move_standing(time_point now, run_view& of)
+// A task that stalls on every worker must neither be moved for ever nor set sound workers aside: each move
+// doubles the timeout, and only the first worker is penalized in full.
+void dispatcher::move_stalled_run(time_point now, run_view& run)
 {
-    const int moves = slow_moves_of(of.name.task);
-    const duration timeout = options_.standstill * (1 << std::min(moves, max_timeout_doublings));
-    if (now <= of.progress_at + timeout)
+    const int moves = slow_moves_of(run.name.task);
+    const duration timeout = options_.stall_timeout * (1 << std::min(moves, max_timeout_doublings));
+    if (now <= run.progress_at + timeout)
     {
         return;
     }
-    ++slow_moves_[of.name.task];
-    ++counts_.moved_standstill;
-    blame(now, *of.on, of.name.task.job, moves == 0 ? 1 : repeated_blame, "its tasks stand still");
-    move_run(now, of, "standstill");
+    ++slow_moves_[run.name.task];
+    ++counts_.moved_stalled;
+    penalize_worker(
+        now, *run.on, run.name.task.job, moves == 0 ? 1 : repeated_failure_weight, "its tasks stand still");
+    move_run(now, run, "standstill");
 }
 
-// A task that is slower than its fellows by nature would be moved on for ever and never end.
-void dispatcher::move_straggler(time_point now, run_view& of)
+// The number of moves is limited: an inherently slow task would be moved for ever and never end.
+void dispatcher::move_straggling_run(time_point now, run_view& run)
 {
-    const int moves = slow_moves_of(of.name.task);
-    if (moves >= most_straggler_moves)
+    const int moves = slow_moves_of(run.name.task);
+    if (moves >= max_straggler_moves)
     {
         return;
     }
-    ++slow_moves_[of.name.task];
+    ++slow_moves_[run.name.task];
     ++counts_.moved_straggler;
-    const double weight = moves == 0 ? 0.5 : 0.5 * repeated_blame;
-    blame(now, *of.on, of.name.task.job, of.filler ? 0 : weight, "its tasks are slow");
-    move_run(now, of, "straggler");
+    const double weight = moves == 0 ? 0.5 : 0.5 * repeated_failure_weight;
+    penalize_worker(now, *run.on, run.name.task.job, run.filler ? 0 : weight, "its tasks are slow");
+    move_run(now, run, "straggler");
 }
 
-void dispatcher::move_run(time_point now, run_view& of, std::string_view why)
+void dispatcher::move_run(time_point now, run_view& run, std::string_view why)
 {
-    if (of.copies_allowed && runs_of(of.name.task).count > 1)
+    if (run.copies_allowed && runs_of(run.name.task).count > 1)
     {
-        of.progress_at = now; // its copy is on the way already
+        run.progress_at = now; // a copy already exists
         return;
     }
-    events_.push_back(logging::event("dispatch", "run_moved", "A run is given up for another one elsewhere.")
-                          .with("job", of.name.task.job)
-                          .with("step", of.name.task.step)
-                          .with("index", of.name.task.index)
-                          .with("attempt", of.name.attempt)
-                          .with("worker", of.worker.id)
-                          .with("born_ms", of.worker.born_ms)
-                          .with("percent", of.percent)
-                          .with("reason", why));
-    failed_on_[of.name.task].insert(of.worker);
-    if (of.copies_allowed && is_on(mechanism::copies))
+    events_.push_back(
+        logging::event("dispatch", "run_moved", "A run is replaced by another one on another worker.")
+            .with("job", run.name.task.job)
+            .with("step", run.name.task.step)
+            .with("index", run.name.task.index)
+            .with("attempt", run.name.attempt)
+            .with("worker", run.worker.id)
+            .with("born_ms", run.worker.born_ms)
+            .with("percent", run.percent)
+            .with("reason", why));
+    failed_on_[run.name.task].insert(run.worker);
+    if (run.copies_allowed && is_on(mechanism::copies))
     {
-        of.progress_at = now; // judged again after another while
-        copy_wanted_.insert(of.name.task);
+        run.progress_at = now; // checked again after another timeout
+        copy_wanted_.insert(run.name.task);
         return;
     }
-    of.stop_wanted = true;
-    of.end_if_absent = jobs::run_end::stopped;
-    of.next_stop_at = now;
-    attend(of);
+    run.stop_wanted = true;
+    run.end_if_absent = jobs::run_end::stopped;
+    run.next_stop_at = now;
+    track_if_actionable(run);
 }
 
-void dispatcher::watch_draining(time_point now, worker_view& of, const jobs::store& state)
+void dispatcher::watch_draining(time_point now, worker_view& worker, const jobs::store& state)
 {
-    const auto since = std::chrono::duration_cast<milliseconds>(now - of.announced_at).count();
-    const std::int64_t left_ms = of.info.time_left_ms - since - options_.drain_reserve.count();
-    for (run_view& run : of.runs)
+    const auto since = std::chrono::duration_cast<milliseconds>(now - worker.announced_at).count();
+    const std::int64_t left_ms = worker.info.time_left_ms - since - options_.drain_reserve.count();
+    for (run_view& run : worker.runs)
     {
         const jobs::job* job = state.find(run.name.task.job);
         if (job == nullptr || run.stop_wanted || run.stage == run_stage::ending ||
@@ -257,13 +261,14 @@
             continue;
         }
         const jobs::step_spec& spec = job->spec.steps[run.name.task.step];
-        const double elapsed = std::chrono::duration<double, std::milli>(now - run.started_at).count();
-        const double needed = run.percent > 0 ? elapsed * static_cast<double>(whole_percent - run.percent) /
-                                                    static_cast<double>(run.percent)
-                                              : static_cast<double>(spec.estimate_ms);
-        if (!spec.lasting && needed < static_cast<double>(left_ms))
+        const double elapsed_ms = std::chrono::duration<double, std::milli>(now - run.started_at).count();
+        const double needed_ms = run.percent > 0
+                                     ? elapsed_ms * static_cast<double>(whole_percent - run.percent) /
+                                           static_cast<double>(run.percent)
+                                     : static_cast<double>(spec.estimate_ms);
+        if (!spec.lasting && needed_ms < static_cast<double>(left_ms))
         {
-            continue; // it ends before its worker does
+            continue; // it will end before its worker leaves
         }
         ++counts_.moved_drain;
         move_run(now, run, "its worker leaves");
@@ -284,22 +289,22 @@
     std::int64_t filler_cpu = 0;
     std::int64_t paced = 0;
     std::int64_t silent = 0;
-    std::int64_t aside = 0;
-    for (const auto& [id, of] : workers_)
+    std::int64_t set_aside = 0;
+    for (const auto& [id, worker] : workers_)
     {
-        usable += is_usable(now, of, false) ? 1 : 0;
-        serving += of.serving_runs > 0 ? 1 : 0;
-        silent += of.silent_calls > options_.max_silent_calls ? 1 : 0;
-        aside += now < of.set_aside_until ? 1 : 0;
-        whole_cpu += of.announced ? of.info.room.cpu_milli : 0;
-        used_cpu += of.used.cpu_milli;
-        filler_cpu += of.filler_cpu_milli;
+        usable += is_usable(now, worker, false) ? 1 : 0;
+        serving += worker.serving_runs > 0 ? 1 : 0;
+        silent += worker.unanswered_calls > options_.max_unanswered_calls ? 1 : 0;
+        set_aside += now < worker.set_aside_until ? 1 : 0;
+        whole_cpu += worker.announced ? worker.info.room.cpu_milli : 0;
+        used_cpu += worker.used.cpu_milli;
+        filler_cpu += worker.filler_cpu_milli;
     }
     for (const auto& [name, run] : runs_)
     {
         paced += run.wanted_pace < whole_percent ? 1 : 0;
     }
-    events_.push_back(logging::event("dispatch", "summary", "What runs and what waits.")
+    events_.push_back(logging::event("dispatch", "summary", "Summary of jobs, runs and workers.")
                           .with("live_jobs", static_cast<std::int64_t>(state.live().size()))
                           .with("runs", static_cast<std::int64_t>(runs_.size()))
                           .with("paced_runs", paced)
@@ -307,7 +312,7 @@
                           .with("usable", usable)
                           .with("serving", serving)
                           .with("silent", silent)
-                          .with("set_aside", aside)
+                          .with("set_aside", set_aside)
                           .with("cpu_milli", whole_cpu)
                           .with("used_cpu_milli", used_cpu)
                           .with("filler_cpu_milli", filler_cpu));
