--- a/src/dispatch/crashes.cpp
+++ b/src/dispatch/crashes.cpp
@@ -1,15 +1,15 @@
 /// @file
-/// @brief Workers whose life is over: which of the tasks there a crash is blamed on, and where a suspect
-/// runs.
+/// @brief Ended lives of workers: which tasks a crash is attributed to, and isolation of suspects.
 ///
-/// A crash takes all runs of a worker along, and one of them at most is its cause. What sets it apart:
-/// - a task that was blamed before is blamed alone; those beside it are not;
-/// - a run is not blamed that its worker hasn't confirmed to this leader;
-/// - nobody is blamed where the address crashed before in the last minute, or a fifth of all workers at once;
-///   of a widespread crash a run isn't even counted that its worker had listed long after the start.
-///   One whose start was never answered is counted: a worker that crashes by it often doesn't answer;
-/// - suspects are kept apart from each other and from addresses that crashed, so that a second crash tells
-///   which of them it followed.
+/// A crash ends all runs of a worker, and at most one of them is its cause. Rules of attribution:
+/// - A task that was blamed before is blamed alone; the tasks beside it are not.
+/// - A run that its worker hasn't confirmed to this leader is not blamed.
+/// - No task is blamed if the address has crashed within the last minute, or if more than a fifth of all
+///   workers crash at once. In such a widespread crash, a run that its worker has listed long after the start
+///   is not even counted. A run whose start was never answered is counted, since a worker that crashes by a
+///   start often doesn't answer it.
+/// - Suspects are separated from each other and from crashed addresses, so that a second crash identifies the
+///   task that it followed.
 
 #include "plumspoke/dispatch/dispatcher.hpp"
 
@@ -21,21 +21,22 @@
 namespace
 {
 
-// For the choice of a suspect's worker, in thousandths of a core as all points; each more than the
-// differences in free processors on a worker of 64.
+// Costs in the choice of a suspect's worker, in thousandths of a core like all scores. Each exceeds the
+// differences in free processors between workers of 64 cores.
 constexpr double beside_suspect_cost = 240'000;
 constexpr double crashed_address_cost = 120'000;
-constexpr double beside_lasting_cost = 60'000; // they would be away until they have started again
-constexpr double silence_cost = 60'000; // for a second without an answer: an order to a dead worker counts
-// What a suspect waits for a worker without another one. A new leader knows its workers after 1.1 s; a
-// job that has nothing running for 3 s counts as stuck.
+constexpr double beside_lasting_cost = 60'000; // lasting tasks would be unavailable until restarted
+constexpr double silence_cost =
+    60'000; // per second without an answer: orders to dead workers count against a task
+// How long a suspect waits for a worker without another suspect. A new leader knows its workers after 1.1 s,
+// and a job without running tasks for 3 s counts as stuck.
 constexpr auto isolation_timeout = milliseconds(1500);
-// Workers announce themselves about once a second: two announcements missed, and something for their way.
-constexpr auto heard_within = milliseconds(2500);
+// Workers announce themselves about once a second: allows two missed announcements and their delay.
+constexpr auto announcement_limit = milliseconds(2500);
 
-bool is_leaving(const worker_view& of)
+bool is_leaving(const worker_view& worker)
 {
-    return of.over_at.has_value() || of.info.is_leaving();
+    return worker.departs_at.has_value() || worker.info.is_leaving();
 }
 
 std::vector<jobs::crash_evidence> evidence_of(const worker_runs& runs)
@@ -48,126 +49,126 @@
     return out;
 }
 
-/// @brief Whether a start of the run may yet be carried out, seconds late, by whoever has its worker's id
-/// then.
-bool may_begin_late(const run_view& of)
+/// @brief Whether a start of the run may still be carried out seconds later, by the life that has the
+/// worker's id then.
+bool may_begin_later(const run_view& run)
 {
-    return of.starts_sent > 0 && (of.start_in_flight || of.start_unanswered);
+    return run.starts_sent > 0 && (run.start_in_flight || run.start_unanswered);
 }
 
-/// @brief Whether the run's start may have reached its worker.
-bool may_have_begun(const run_view& of)
+/// @brief Whether a start order of the run may have reached its worker.
+bool may_have_begun(const run_view& run)
 {
-    return of.stage != run_stage::ordered || of.starts_sent > 0;
+    return run.stage != run_stage::ordered || run.starts_sent > 0;
 }
 
 } // namespace
 
-std::string_view to_string(life_end value) noexcept
+std::string_view to_string(life_end_cause value) noexcept
 {
-    return value == life_end::crash ? "another life answers in its place" : "said goodbye";
+    return value == life_end_cause::crash ? "another life answers in its place" : "said goodbye";
 }
 
 void dispatcher::end_life(time_point now,
-                          worker_view& of,
-                          life_end how,
+                          worker_view& worker,
+                          life_end_cause how,
                           const std::optional<fleet::worker_life>& next)
 {
-    // Of a life that this leader knows from a late announcement alone, nothing can have crashed now.
-    const bool was_there = of.contacted || !of.runs.empty();
-    const bool crashed = how == life_end::crash && !is_leaving(of) && was_there;
-    if (!of.life_over)
+    // A life known only from a late announcement cannot have crashed now.
+    const bool was_in_use = worker.contacted || !worker.runs.empty();
+    const bool crashed = how == life_end_cause::crash && !is_leaving(worker) && was_in_use;
+    if (!worker.life_ended)
     {
-        events_.push_back(logging::event("dispatch", "worker_over", "A worker's life is over.")
-                              .with("worker", of.info.life.id)
-                              .with("born_ms", of.info.life.born_ms)
-                              .with("address", of.info.address)
+        events_.push_back(logging::event("dispatch", "worker_over", "The life of a worker has ended.")
+                              .with("worker", worker.info.life.id)
+                              .with("born_ms", worker.info.life.born_ms)
+                              .with("address", worker.info.address)
                               .with("reason", to_string(how))
                               .with("crashed", crashed ? 1 : 0)
                               .with("next_born_ms", next.has_value() ? next->born_ms : 0)
-                              .with("runs", static_cast<std::int64_t>(of.runs.size())));
+                              .with("runs", static_cast<std::int64_t>(worker.runs.size())));
     }
-    run_names to_next;
-    run_names* const late = next.has_value() ? &to_next : nullptr;
+    run_names moved_to_next;
+    run_names* const to_fence = next.has_value() ? &moved_to_next : nullptr;
     if (crashed)
     {
-        end_crashed(now, of, late);
+        end_crashed_runs(now, worker, to_fence);
     }
     else
     {
-        end_lost(now, of, late);
+        end_lost_runs(now, worker, to_fence);
     }
-    for (const jobs::run_name& name : to_next)
+    for (const jobs::run_name& name : moved_to_next)
     {
-        (void)meet_worker(*next, of.info.address);
+        (void)find_or_register_worker(*next, worker.info.address);
         move_to_life(name, *next);
     }
-    close_life(of);
+    mark_life_ended(worker);
 }
 
-void dispatcher::end_lost(time_point now, worker_view& of, run_names* to_next)
+void dispatcher::end_lost_runs(time_point now, worker_view& worker, run_names* moved_to_next)
 {
-    for (run_view& run : of.runs)
+    for (run_view& run : worker.runs)
     {
-        if (run.stage != run_stage::proposed) // else its record comes back; the order then finds no worker
+        if (run.stage != run_stage::proposed) // else its record is in flight; the order will find no worker
         {
-            write_off(now, run, jobs::run_end::lost, jobs::crash_sign::none, to_next);
+            end_or_fence(now, run, jobs::run_end::lost, jobs::crash_sign::none, moved_to_next);
         }
     }
 }
 
-void dispatcher::close_life(worker_view& of)
+void dispatcher::mark_life_ended(worker_view& worker)
 {
-    of.life_over = true;
-    of.announced = false;
-    of.contacted = false; // an announcement that was held up on its way has to be borne out by an answer
-    of.hold_in_flight = false;
-    of.next_hold_at = time_point::max();
-    of.ends_noted = of.ends_proposed;
-    of.ends_told = of.ends_proposed;
-    of.over_at.reset();
+    worker.life_ended = true;
+    worker.announced = false;
+    worker.contacted = false; // a delayed announcement has to be confirmed by an answer
+    worker.poll_in_flight = false;
+    worker.next_poll_at = time_point::max();
+    worker.ends_recorded = worker.ends_proposed;
+    worker.ends_acknowledged = worker.ends_proposed;
+    worker.departs_at.reset();
     capacity_changed_ = true;
-    note_changed(of);
+    mark_changed(worker);
 }
 
-// A start that is carried out late would find the next life under the same id willing: there the run is shut
-// out before its task goes elsewhere.
-void dispatcher::write_off(
-    time_point now, run_view& of, jobs::run_end how, jobs::crash_sign sign, run_names* to_next)
+// The next life under the same id would carry out a delayed start, so the run is fenced there before its task
+// is started elsewhere.
+void dispatcher::end_or_fence(
+    time_point now, run_view& run, jobs::run_end how, jobs::crash_sign sign, run_names* moved_to_next)
 {
-    if (to_next == nullptr || of.stage == run_stage::ending || !may_begin_late(of))
+    if (moved_to_next == nullptr || run.stage == run_stage::ending || !may_begin_later(run))
     {
-        end_run(now, of, how, of.saved, sign);
+        end_run(now, run, how, run.saved, sign);
         return;
     }
-    of.crash_if_ended = std::max(of.crash_if_ended, sign);
-    of.stop_in_flight = false;
-    of.stop_acknowledged_at.reset();
-    shut_out(now, of, how);
-    to_next->push_back(of.name);
+    run.pending_crash_sign = std::max(run.pending_crash_sign, sign);
+    run.stop_in_flight = false;
+    run.stop_acknowledged_at.reset();
+    fence_run(now, run, how);
+    moved_to_next->push_back(run.name);
 }
 
-// Those that are still silent count too: a rack that crashes comes back one worker after the other.
+// Silent workers count too, since the workers of a crashed rack return one by one.
 bool dispatcher::is_widespread(time_point now)
 {
     const std::span<worker_view* const> all = all_workers();
-    const auto silent =
-        std::count_if(all.begin(),
-                      all.end(),
-                      [this](const worker_view* of)
-                      {
-                          return !of->life_over && of->silent_calls > options_.max_silent_calls;
-                      });
+    const auto silent = std::count_if(all.begin(),
+                                      all.end(),
+                                      [this](const worker_view* worker)
+                                      {
+                                          return !worker->life_ended &&
+                                                 worker->unanswered_calls > options_.max_unanswered_calls;
+                                      });
     return recent_crashes_.is_widespread(now, static_cast<std::size_t>(silent), all.size());
 }
 
-void dispatcher::end_crashed(time_point now, worker_view& of, run_names* to_next)
+void dispatcher::end_crashed_runs(time_point now, worker_view& worker, run_names* moved_to_next)
 {
     const bool widespread = is_widespread(now);
-    const bool other_cause = widespread || recent_crashes_.had_one(now, of.info.address);
+    const bool other_cause = widespread || recent_crashes_.crashed_recently(now, worker.info.address);
     const std::optional<std::uint32_t> blamed_before =
-        other_cause ? std::nullopt : jobs::find_blamed(evidence_of(of.runs));
-    for (run_view& run : of.runs)
+        other_cause ? std::nullopt : jobs::find_blamed(evidence_of(worker.runs));
+    for (run_view& run : worker.runs)
     {
         if (run.stage == run_stage::proposed)
         {
@@ -178,56 +179,57 @@
             end_run(now, run, jobs::run_end::not_begun, run.saved);
             continue;
         }
-        // An order that nobody answered was often sent to a worker that had crashed already.
+        // An unanswered order was often sent to a worker that had already crashed.
         const bool blamed = was_confirmed(run) && run.evidence.blamed == blamed_before;
-        const bool innocent = widespread && run.outlived_start;
+        const bool not_at_fault = widespread && run.survived_start;
         const jobs::crash_sign unexplained = blamed ? jobs::crash_sign::blamed : jobs::crash_sign::counted;
-        const jobs::crash_sign sign = innocent ? jobs::crash_sign::none : unexplained;
-        write_off(now, run, jobs::run_end::crashed, sign, to_next);
+        const jobs::crash_sign sign = not_at_fault ? jobs::crash_sign::none : unexplained;
+        end_or_fence(now, run, jobs::run_end::crashed, sign, moved_to_next);
     }
-    if (!of.life_over)
+    if (!worker.life_ended)
     {
         ++counts_.workers_crashed;
-        recent_crashes_.note(now, of.info.address);
+        recent_crashes_.record(now, worker.info.address);
     }
 }
 
-jobs::crash_sign dispatcher::sign_of_lapse(time_point now, const run_view& of, bool widespread) const
+jobs::crash_sign dispatcher::crash_sign_of_lapse(time_point now, const run_view& run, bool widespread) const
 {
-    const bool sent = may_have_begun(of);
-    const bool innocent = widespread && of.outlived_start;
-    return sent && !innocent && is_unheard(now, *of.on) ? jobs::crash_sign::counted : jobs::crash_sign::none;
+    const bool sent = may_have_begun(run);
+    const bool not_at_fault = widespread && run.survived_start;
+    return sent && !not_at_fault && is_announcement_overdue(now, *run.on) ? jobs::crash_sign::counted
+                                                                          : jobs::crash_sign::none;
 }
 
-bool dispatcher::is_unheard(time_point now, const worker_view& of)
+bool dispatcher::is_announcement_overdue(time_point now, const worker_view& worker)
 {
-    return !of.announced || of.announced_at + heard_within < now;
+    return !worker.announced || worker.announced_at + announcement_limit < now;
 }
 
-// Load that it answers: the ten tasks of a worker that crashed, and a leader that knows only one usable
-// worker yet. All of them went there together, crash after crash, and were blamed alike.
-bool dispatcher::waits_apart(time_point now, const jobs::task_name& suspect, const worker_view& best)
+// A leader may know only one usable worker yet when ten tasks of a crashed worker are waiting. Without the
+// wait all of them would run together there, crash after crash, and be blamed alike.
+bool dispatcher::waits_for_isolation(time_point now, const jobs::task_name& suspect, const worker_view& best)
 {
     if (best.suspects == 0)
     {
-        apart_since_.erase(suspect);
+        isolation_wait_since_.erase(suspect);
         return false;
     }
-    const auto waiting = apart_since_.try_emplace(suspect, now).first;
+    const auto waiting = isolation_wait_since_.try_emplace(suspect, now).first;
     if (now < waiting->second + isolation_timeout)
     {
         return true;
     }
-    apart_since_.erase(waiting);
+    isolation_wait_since_.erase(waiting);
     return false;
 }
 
-double dispatcher::crash_risk_cost(time_point now, const worker_view& of) const
+double dispatcher::crash_risk_cost(time_point now, const worker_view& worker) const
 {
-    return beside_suspect_cost * of.suspects +
-           (recent_crashes_.had_one(now, of.info.address) ? crashed_address_cost : 0) +
-           (of.lasting_cpu_milli > 0 ? beside_lasting_cost : 0) +
-           silence_cost * std::chrono::duration<double>(now - of.answered_at).count();
+    return beside_suspect_cost * worker.suspects +
+           (recent_crashes_.crashed_recently(now, worker.info.address) ? crashed_address_cost : 0) +
+           (worker.lasting_cpu_milli > 0 ? beside_lasting_cost : 0) +
+           silence_cost * std::chrono::duration<double>(now - worker.answered_at).count();
 }
 
 } // namespace plumspoke::dispatch
--- a/src/dispatch/filler_interference.cpp
+++ b/src/dispatch/filler_interference.cpp
@@ -76,8 +76,8 @@
 
 std::int64_t dispatcher::filler_headroom_milli(const worker_view& worker) const
 {
-    const auto unused =
-        static_cast<std::int64_t>((1 - options_.serving_use) * static_cast<double>(worker.serving_cpu_milli));
+    const auto unused = static_cast<std::int64_t>((1 - options_.serving_utilization) *
+                                                  static_cast<double>(worker.serving_cpu_milli));
     return worker.info.room.cpu_milli - worker.used.cpu_milli + unused - worker.filler_cpu_milli;
 }
 
@@ -87,7 +87,7 @@
     for (const serving_image& serving : colocation.serving)
     {
         const double effect = interference_.effect(serving.image, filler_image);
-        if (effect >= options_.harmless_effect) // a smaller effect can't be told from the task's own load
+        if (effect >= options_.negligible_effect) // a smaller effect can't be told from the task's own load
         {
             smallest = std::min(smallest, serving.min_slack - effect);
         }
@@ -102,7 +102,7 @@
     {
         largest = std::max(largest, interference_.effect(serving.image, filler_image));
     }
-    return largest < options_.harmless_effect ? 0 : largest;
+    return largest < options_.negligible_effect ? 0 : largest;
 }
 
 // Polls cost the leader processor time: where all serving tasks have ample slack, one a second is enough.
@@ -153,7 +153,7 @@
 
 bool dispatcher::would_interfere(const colocation_summary& colocation, image_number filler_image) const
 {
-    return min_slack_beside(colocation, filler_image) < options_.least_slack_at_start ||
+    return min_slack_beside(colocation, filler_image) < options_.min_slack_at_start ||
            !may_try_unmeasured(colocation, filler_image);
 }
 
--- a/src/dispatch/pace.cpp
+++ b/src/dispatch/pace.cpp
@@ -124,7 +124,7 @@
             continue;
         }
         run.wanted_pace = 0; // regardless of the learned effects of its image
-        attend(run);
+        track_if_actionable(run);
         worker.pace_changed_at = now;
         if (now > *since + over_target_stop && !run.stop_wanted)
         {
@@ -132,7 +132,7 @@
             run.stop_wanted = true;
             run.end_if_absent = jobs::run_end::stopped;
             run.next_stop_at = now;
-            attend(run);
+            track_if_actionable(run);
         }
     }
 }
@@ -282,7 +282,7 @@
     for (run_view& run : worker.runs)
     {
         const bool is_harmless =
-            interference_.effect(serving.image_id, run.image_id) < options_.harmless_effect &&
+            interference_.effect(serving.image_id, run.image_id) < options_.negligible_effect &&
             interference_.evidence(serving.image_id, run.image_id) > min_evidence;
         if (!run.filler || run.stage != run_stage::running || is_harmless)
         {
@@ -291,10 +291,10 @@
         const auto pace = static_cast<std::uint32_t>(scale * static_cast<double>(run.pace_percent));
         if (run.wanted_pace >= relocation_pace)
         {
-            run.paced_since = now;
+            run.slowed_since = now;
         }
         run.wanted_pace = pace < min_pace ? 0 : pace;
-        attend(run);
+        track_if_actionable(run);
         worker.pace_changed_at = now;
     }
 }
@@ -318,7 +318,7 @@
         if (percent >= min_pace)
         {
             run.wanted_pace += percent;
-            attend(run);
+            track_if_actionable(run);
             worker.pace_changed_at = now;
         }
     }
@@ -334,7 +334,7 @@
     {
         return;
     }
-    if (run.on->silent_calls > 0)
+    if (run.on->unanswered_calls > 0)
     {
         return;
     }
--- a/src/dispatch/placement.cpp
+++ b/src/dispatch/placement.cpp
@@ -46,8 +46,8 @@
 {
     const metrics::measured_part placing(metrics::loop_part::place);
     begin_placement(now);
-    const std::vector<ready_step> ready = find_ready(day_ms, state);
-    const std::size_t max_starts = std::min(options_.max_starts_per_round, strain_.starts_allowed());
+    const std::vector<ready_step> ready = find_ready_steps(day_ms, state);
+    const std::size_t max_starts = std::min(options_.max_starts_per_round, overload_.starts_allowed());
     const std::array<std::size_t, work_kind_count> limits = compute_start_limits(max_starts, ready);
     update_min_filler_cpu(ready);
     update_short_task_demand(now, ready);
@@ -128,7 +128,7 @@
     double allowed_ms = std::numeric_limits<double>::infinity();
     for (const ready_step& step : ready)
     {
-        if (step.kind() == work_kind::short_task && step.worth != worth_class::hopeless)
+        if (step.kind() == work_kind::short_task && step.lateness != lateness_class::hopeless)
         {
             short_tasks += step.count_waiting();
             allowed_ms = std::min<double>(allowed_ms, step.job->taken_from.objective_extra_ms);
@@ -167,8 +167,8 @@
     {
         kind_counts& counts = window_.of(step.kind());
         ++counts.steps_ready;
-        counts.steps_late += step.worth == worth_class::late ? 1 : 0;
-        counts.steps_hopeless += step.worth == worth_class::hopeless ? 1 : 0;
+        counts.steps_late += step.lateness == lateness_class::late ? 1 : 0;
+        counts.steps_hopeless += step.lateness == lateness_class::hopeless ? 1 : 0;
         counts.tasks_waiting += static_cast<std::int64_t>(step.count_waiting());
     }
 }
@@ -223,8 +223,8 @@
         const jobs::run_started& first = round.starts[before];
         const auto count = static_cast<std::int64_t>(round.starts.size() - before);
         kind_counts& counts = window_.of(step.kind());
-        counts.granted_late += step.worth == worth_class::late ? count : 0;
-        counts.granted_hopeless += step.worth == worth_class::hopeless ? count : 0;
+        counts.granted_late += step.lateness == lateness_class::late ? count : 0;
+        counts.granted_hopeless += step.lateness == lateness_class::hopeless ? count : 0;
         const duration queued = queueing_time(now, round.at_ms, step);
         for (std::size_t i = before; i < round.starts.size(); ++i)
         {
@@ -241,7 +241,7 @@
                 .with("first_worker", first.worker.id)
                 .with("first_worker_born_ms", first.worker.born_ms)
                 .with("first_attempt", first.name.attempt)
-                .with("worth", static_cast<std::int64_t>(step.worth)));
+                .with("worth", static_cast<std::int64_t>(step.lateness)));
     }
 }
 
@@ -294,7 +294,7 @@
         }
         task.name.index = index;
         task.runs = runs_of(task.name);
-        if (!needs_run(step, task) || retry_pauses_.holds_back(now, task.name))
+        if (!needs_run(step, task) || retry_backoff_.is_backing_off(now, task.name))
         {
             continue;
         }
@@ -322,7 +322,7 @@
         blocked.placement = placements_;
         ++window_.of(step.kind()).steps_without_worker;
         log_wait_reasons(now, step, index);
-        if (step.regains && !first_start)
+        if (step.restarts_lasting_task && !first_start)
         {
             reserve_workers(now, step, static_cast<std::uint32_t>(tasks.size()) - index);
         }
@@ -343,9 +343,9 @@
     {
         return placement_result::no_worker;
     }
-    if (is_suspect(recorded.evidence) && waits_apart(now, task.name, *worker))
+    if (is_suspect(recorded.evidence) && waits_for_isolation(now, task.name, *worker))
     {
-        return placement_result::awaits_isolation;
+        return placement_result::waits_for_isolation;
     }
     if (step.spec->copies_allowed && copy_wanted_.erase(task.name) > 0)
     {
@@ -378,7 +378,7 @@
     std::uint32_t attempt = 0;
     for (std::uint32_t index = 0; index < tasks.size(); ++index)
     {
-        if (runs_of(step.task(index)).count > 0 || retry_pauses_.holds_back(now, step.task(index)))
+        if (runs_of(step.task(index)).count > 0 || retry_backoff_.is_backing_off(now, step.task(index)))
         {
             return; // a gang restarts only after all runs of its previous attempt have ended
         }
--- a/src/dispatch/worker_choice.cpp
+++ b/src/dispatch/worker_choice.cpp
@@ -64,7 +64,7 @@
         double score = entry.score;
         if (failed != failed_on_.end())
         {
-            score -= worker.tasks_done == 0 || worker.blame > 0.5 ? unproven_cost : 0;
+            score -= worker.tasks_done == 0 || worker.failure_score > 0.5 ? unproven_cost : 0;
             score -= failed->second.contains(worker.info.life) ? 2 * off_rack_cost : 0;
         }
         score -= now < worker.set_aside_until ? set_aside_cost : 0;
@@ -85,13 +85,14 @@
 {
     const bool set_aside = now < worker.set_aside_until && !ignore_set_aside_ && !urgent;
     return is_reachable(now, worker) && worker.info.state == fleet::worker_state::ready &&
-           !worker.over_at.has_value() && worker.contacted && worker.clock.known() &&
-           worker.silent_calls <= options_.max_silent_calls && !set_aside && now >= worker.no_room_until;
+           !worker.departs_at.has_value() && worker.contacted && worker.clock.known() &&
+           worker.unanswered_calls <= options_.max_unanswered_calls && !set_aside &&
+           now >= worker.no_room_until;
 }
 
 bool dispatcher::is_reachable(time_point now, const worker_view& worker) const noexcept
 {
-    const bool announces = now < worker.announced_at + options_.announce_silence;
+    const bool announces = now < worker.announced_at + options_.announcement_timeout;
     const bool answers = now < worker.answered_at + options_.answer_timeout &&
                          now < worker.announced_at + options_.max_announcement_age;
     return worker.announced && (announces || answers);
@@ -252,7 +253,8 @@
     row.filler_free_milli = free_cpu_milli(worker, true);
     row.total_milli = worker.info.room.cpu_milli;
     row.filler_milli = worker.filler_cpu_milli;
-    row.penalty = blame_cost * worker.blame + (worker.prime_suspects > 0 ? beside_prime_suspect_cost : 0);
+    row.penalty =
+        blame_cost * worker.failure_score + (worker.critical_suspects > 0 ? beside_prime_suspect_cost : 0);
     row.serving_runs = worker.serving_runs;
     row.colocation = &worker.colocation;
     return row;
--- a/src/dispatch/worker_view.cpp
+++ b/src/dispatch/worker_view.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief A run's view from its record and its step, and the contact with a worker.
+/// @brief Construction of run views and contact snapshots.
 
 #include "plumspoke/dispatch/worker_view.hpp"
 
@@ -29,18 +29,18 @@
     return out;
 }
 
-contact_notes note_contact_with(const worker_view& of)
+contact_snapshot make_contact_snapshot(const worker_view& worker)
 {
-    contact_notes out;
-    out.answered_at = of.answered_at;
-    out.lease_sent_at = of.lease_sent_at;
-    out.first_lease_at = of.first_lease_at;
-    out.hold_sent_at = of.hold_sent_at;
-    out.lease_gap = of.lease_gap;
-    out.silent_calls = of.silent_calls;
-    out.contacted = of.contacted;
-    out.announced = of.announced;
-    out.hold_in_flight = of.hold_in_flight;
+    contact_snapshot out;
+    out.answered_at = worker.answered_at;
+    out.lease_sent_at = worker.lease_sent_at;
+    out.first_lease_at = worker.first_lease_at;
+    out.poll_sent_at = worker.poll_sent_at;
+    out.max_lease_gap = worker.max_lease_gap;
+    out.unanswered_calls = worker.unanswered_calls;
+    out.contacted = worker.contacted;
+    out.announced = worker.announced;
+    out.poll_in_flight = worker.poll_in_flight;
     return out;
 }
 
--- a/tests/src/unit-fleet_and_interference.cpp
+++ b/tests/src/unit-fleet_and_interference.cpp
@@ -107,18 +107,18 @@
     dispatch::worker_clock clock(0.98);
     CHECK_FALSE(clock.known());
     clock.observe(10'000, start);
-    CHECK(clock.at_least(start + seconds(10)) == 19'800);
+    CHECK(clock.lower_bound(start + seconds(10)) == 19'800);
 
     SECTION("an answer that arrives out of order changes nothing")
     {
         clock.observe(10'100, start + seconds(5));
-        CHECK(clock.at_least(start + seconds(10)) == 19'800);
+        CHECK(clock.lower_bound(start + seconds(10)) == 19'800);
     }
     SECTION("a time is past only once the slowest permitted clock has reached it")
     {
-        CHECK(clock.surely_past(14'000) > start + milliseconds(4080));
-        CHECK(clock.surely_past(14'000) < start + milliseconds(4085));
-        CHECK(clock.surely_past(9'000) == start);
+        CHECK(clock.certainly_past(14'000) > start + milliseconds(4080));
+        CHECK(clock.certainly_past(14'000) < start + milliseconds(4085));
+        CHECK(clock.certainly_past(9'000) == start);
     }
 }
 
--- a/tests/src/unit-short_task_headroom.cpp
+++ b/tests/src/unit-short_task_headroom.cpp
@@ -39,7 +39,7 @@
 /// @brief Answers all polls: the runs of this job have ended, all others continue.
 void end_job(fixture& f, const jobs::job_id& job)
 {
-    for (const hold_order& one : std::exchange(f.open_holds, {}))
+    for (const poll_order& one : std::exchange(f.open_polls, {}))
     {
         worker_answer got;
         got.how = reply::done;
@@ -71,7 +71,7 @@
     {
         f.announce(id);
         f.decide();
-        f.answer_holds();
+        f.answer_polls();
     };
     add_worker("lost");
     REQUIRE(start_lasting(f, "full one", 13'000, "three") == "lost");
@@ -110,7 +110,7 @@
         end_job(f, "short");
     }
     REQUIRE(f.state.find("short")->phase == jobs::job_phase::completed);
-    f.leader.said_goodbye(f.now, {"lost"});
+    f.leader.departed(f.now, {"lost"});
     std::string restarted_on;
     for (int i = 0; i < 60 && restarted_on.empty(); ++i)
     {
