--- a/bench/control.cpp
+++ b/bench/control.cpp
@@ -127,7 +127,7 @@
         {
             for (const auto& one : replicas)
             {
-                if (one->driver != nullptr && one->driver->may_act(std::chrono::steady_clock::now()))
+                if (one->driver != nullptr && one->driver->holds_lease(std::chrono::steady_clock::now()))
                 {
                     return *one;
                 }
@@ -227,7 +227,7 @@
         const replica::membership alone = {{{"c1.first", "c1", free_address(), true}}};
         bench_replica one(folder / "c1", alone.members[0].address, alone, "c1");
         one.start();
-        while (!one.driver->may_act(std::chrono::steady_clock::now()))
+        while (!one.driver->holds_lease(std::chrono::steady_clock::now()))
         {
             std::this_thread::sleep_for(milliseconds(1));
         }
@@ -256,7 +256,7 @@
         one.stop();
         const time_point began = std::chrono::steady_clock::now();
         one.start();
-        while (!one.driver->may_act(std::chrono::steady_clock::now()))
+        while (!one.driver->holds_lease(std::chrono::steady_clock::now()))
         {
             std::this_thread::sleep_for(milliseconds(1));
         }
--- a/include/plumspoke/replica/driver.hpp
+++ b/include/plumspoke/replica/driver.hpp
@@ -94,9 +94,9 @@
     bool term_committed = false;
     std::uint64_t sync_count = 0;
     std::uint64_t commit_rounds = 0;
-    std::uint64_t processor_us = 0; // processor time of the replica's thread
+    std::uint64_t cpu_time_us = 0; // processor time of the replica's thread
     std::error_code failure;
-    ended_term last_ended; // the last term that this replica led and leads no more
+    leadership_record last_leadership; // the last term that this replica led and leads no more
 
     [[nodiscard]] bool is_leader() const noexcept
     {
@@ -104,7 +104,7 @@
     }
 
     /// @brief Whether this replica may act as the leader at `now` without asking anyone.
-    [[nodiscard]] bool may_act(time_point now) const noexcept
+    [[nodiscard]] bool holds_lease(time_point now) const noexcept
     {
         return is_leader() && term_committed && now < lease_end;
     }
@@ -114,15 +114,15 @@
 struct driver_options
 {
     node_options node;
-    std::size_t snapshot_interval = 2000; // the most entries between snapshots
-    std::size_t max_waiting = 20000;      // proposals that wait; more are refused
-    std::size_t max_batch = 1024;         // proposals appended in one round
+    std::size_t snapshot_interval = 2000;       // the most entries between snapshots
+    std::size_t max_queued_proposals = 20000;   // proposals that wait; more are refused
+    std::size_t max_proposals_per_round = 1024; // proposals appended in one round
 };
 
 /// @brief A replica's own number of entries between snapshots: from half of the set one up to all of it.
 /// @note Replicas apply the same entries, and their threads neither send nor hear while they save. With one
 ///       interval all would save at the same entry, and the leader would be silent together with its quorum.
-[[nodiscard]] std::size_t own_snapshot_interval(std::string_view id, std::size_t set) noexcept;
+[[nodiscard]] std::size_t jittered_snapshot_interval(std::string_view id, std::size_t set) noexcept;
 
 /// @brief Runs one replica.
 class driver
@@ -164,16 +164,16 @@
     /// @name access
     /// @{
     [[nodiscard]] replica_status status() const;
-    [[nodiscard]] bool may_act(time_point now) const;
+    [[nodiscard]] bool holds_lease(time_point now) const;
     /// @}
 
   private:
-    struct waiting_proposal
+    struct queued_proposal
     {
         std::string command;
         proposal_callback done;
     };
-    struct sent_proposal
+    struct pending_proposal
     {
         term_number term = 0;
         proposal_callback done;
@@ -181,25 +181,26 @@
 
     [[nodiscard]] std::error_code enqueue(std::string& command, proposal_callback& done);
     void run();
-    void take_events(std::vector<message>& messages, std::vector<waiting_proposal>& proposals);
-    void feed(time_point now, std::vector<message>& messages, std::vector<waiting_proposal>& proposals);
-    [[nodiscard]] bool flush(time_point now);
+    void take_events(std::vector<message>& messages, std::vector<queued_proposal>& proposals);
+    void
+    process_events(time_point now, std::vector<message>& messages, std::vector<queued_proposal>& proposals);
+    [[nodiscard]] bool process_output(time_point now);
     void queue_output(node_output& output);
     void apply_queued(time_point until);
     [[nodiscard]] bool install_queued(time_point until);
     [[nodiscard]] bool apply_one(const log_entry& entry, time_point until);
-    [[nodiscard]] bool nothing_unapplied() const noexcept;
-    void finish(const log_entry& entry, std::string answer);
-    void fail_all(std::error_code error);
-    void drop_lost_proposals();
-    void lose_proposals_after(log_index last_kept);
+    [[nodiscard]] bool is_apply_queue_empty() const noexcept;
+    void complete_proposal(const log_entry& entry, std::string answer);
+    void fail_all_proposals(std::error_code error);
+    void fail_lost_proposals();
+    void fail_proposals_after(log_index last_kept);
     [[nodiscard]] std::error_code take_snapshot_if_due(time_point until);
     void manage_membership(time_point now);
     void publish();
     [[nodiscard]] std::error_code persist(time_point now, const node_output& output);
-    static void log_persisted_snapshot(const node_output& output, time_point begun);
-    void end_leading(time_point now, term_end why);
-    void fail_disk(time_point now, std::error_code failed);
+    static void log_persisted_snapshot(const node_output& output, time_point started_at);
+    void publish_step_down(time_point now, step_down_reason reason);
+    void publish_disk_failure(time_point now, std::error_code failed);
     void log_candidacy();
     [[nodiscard]] std::string address_of(const member_id& id) const;
 
@@ -213,16 +214,16 @@
     mutable std::mutex mutex_;
     std::condition_variable wake_;
     std::deque<message> inbox_;
-    std::deque<waiting_proposal> proposals_;
-    join_requests joining_;
-    std::map<member_id, std::string> return_addresses_; // of senders, for a member that has no membership yet
+    std::deque<queued_proposal> queued_proposals_;
+    join_requests join_requests_;
+    std::map<member_id, std::string> sender_addresses_; // of senders, for a member that has no membership yet
     replica_status status_;
     std::atomic<bool> stopping_{false};
 
-    std::map<log_index, sent_proposal> sent_;
+    std::map<log_index, pending_proposal> pending_proposals_;
     // Committed or taken from the leader, but not in the state yet: first the snapshot, then the entries.
-    std::optional<snapshot> uninstalled_;
-    std::deque<log_entry> unapplied_;
+    std::optional<snapshot> snapshot_to_install_;
+    std::deque<log_entry> apply_queue_;
     log_index applied_index_ = 0;
     snapshot_schedule snapshots_;
     std::uint64_t commit_rounds_ = 0;
--- a/include/plumspoke/replica/grpc_transport.hpp
+++ b/include/plumspoke/replica/grpc_transport.hpp
@@ -35,18 +35,18 @@
     [[nodiscard]] std::uint64_t bytes_sent() const noexcept;
 
     /// @brief Calls that ran into their limit on a connection that had carried an answer before.
-    [[nodiscard]] std::uint64_t silent_calls() const noexcept;
+    [[nodiscard]] std::uint64_t timed_out_calls() const noexcept;
 
   private:
     struct transport_counts;
     class peer;
-    class snapshot_lane;
+    class snapshot_sender;
     class peers;
     std::unique_ptr<peers> peers_;
 };
 
 /// @brief Prepares a server for messages as large as a snapshot.
-void take_large_messages(grpc::ServerBuilder& builder);
+void allow_large_messages(grpc::ServerBuilder& builder);
 
 /// @brief Receives for a driver; owned by the caller, registered with its gRPC server.
 [[nodiscard]] std::unique_ptr<grpc::Service> make_replica_service(driver& target);
--- a/include/plumspoke/replica/join_requests.hpp
+++ b/include/plumspoke/replica/join_requests.hpp
@@ -20,13 +20,13 @@
     void add(const member& joining, time_point now);
 
     /// @brief Requests of disks that are not members, oldest first. Others, and expired ones, are dropped.
-    [[nodiscard]] std::vector<member> open(time_point now, const membership& present);
+    [[nodiscard]] std::vector<member> pending(time_point now, const membership& present);
 
   private:
     struct request
     {
         member joining;
-        time_point asked_at{};
+        time_point received_at{};
     };
 
     std::vector<request> requests_;
--- a/include/plumspoke/replica/node.hpp
+++ b/include/plumspoke/replica/node.hpp
@@ -31,18 +31,18 @@
     duration election_timeout = milliseconds(600);
     duration heartbeat_interval = milliseconds(150);
     duration drift_margin = milliseconds(120);
-    duration snapshot_resend = seconds(1);    // while no answer to it has come
-    duration snapshot_retention = seconds(4); // for which the log after a sent snapshot is kept
+    duration snapshot_resend_interval = seconds(1);     // while no answer to it has come
+    duration log_retention_after_snapshot = seconds(4); // for which the log after a sent snapshot is kept
     // The log that is kept for members that are catching up, beyond what a snapshot holds.
     std::size_t max_retained_entries = 4000;
     std::size_t max_retained_bytes = 8U << 20U;
     std::size_t max_entries_per_append = 512;
     std::size_t max_bytes_per_append = 128U << 10U; // some 0.1 s between two busy machines
     // Voters that the group wants; further members stand by as learners. 0: every member votes.
-    std::size_t wanted_voters = 0;
+    std::size_t target_voter_count = 0;
     // A voter that is silent for so long gives its place to a learner that stands by. Longer than any
     // restart; the platform calls a machine lost until four seconds after its return.
-    duration replace_after = seconds(4);
+    duration voter_replacement_timeout = seconds(4);
 };
 
 /// @brief What the shell has to do, in this order: persist and sync, then send, then apply.
@@ -62,7 +62,7 @@
 };
 
 /// @brief Why a replica leads no more.
-enum class term_end : std::uint8_t
+enum class step_down_reason : std::uint8_t
 {
     lease_not_renewed, // no quorum has acknowledged for an election timeout
     higher_term,       // another member has begun one
@@ -71,28 +71,28 @@
 };
 
 /// @brief The name of a reason, for log lines.
-[[nodiscard]] std::string_view to_string(term_end value) noexcept;
+[[nodiscard]] std::string_view to_string(step_down_reason value) noexcept;
 
 /// @brief The last term that a replica led, and how it ended; for log lines, decides nothing.
-struct ended_term
+struct leadership_record
 {
     term_number term = 0; // 0: none yet
-    term_end why = term_end::resigned;
+    step_down_reason reason = step_down_reason::resigned;
     time_point ended_at{};
     duration length{};
-    duration since_quorum{};   // from the sending of the newest message that a quorum has acknowledged
-    duration longest_gap{};    // of this replica's own events while it led
-    term_number seen_term = 0; // the higher one
-    member_id seen_from;       // whoever spoke of the higher one
+    duration since_quorum_ack{};  // from the sending of the newest message that a quorum has acknowledged
+    duration longest_event_gap{}; // of this replica's own events while it led
+    term_number higher_term = 0;  // the higher one
+    member_id higher_term_sender; // whoever spoke of the higher one
 };
 
 /// @brief Why a replica last stood for election; for log lines, decides nothing.
 struct candidacy
 {
-    std::uint64_t number = 0; // rises with each; 0: none yet
-    member_id last_leader;    // empty: none was known
-    duration since_heard{};   // from the leader's last message, or from the start
-    duration longest_gap{};   // of this replica's own events since then
+    std::uint64_t number = 0;        // rises with each; 0: none yet
+    member_id last_leader;           // empty: none was known
+    duration since_leader_contact{}; // from the leader's last message, or from the start
+    duration longest_event_gap{};    // of this replica's own events since then
 };
 
 /// @brief What a replica finds on its disk when it starts.
@@ -142,7 +142,7 @@
     void compact(log_index index);
 
     /// @brief Steps down, for a planned stop.
-    void resign(time_point now, term_end why = term_end::resigned);
+    void step_down(time_point now, step_down_reason reason = step_down_reason::resigned);
     /// @}
 
     /// @name access
@@ -190,7 +190,7 @@
     [[nodiscard]] log_index match_index(const member_id& id) const noexcept;
 
     /// @brief When a member last answered this leader.
-    [[nodiscard]] std::optional<time_point> last_answer(const member_id& id) const noexcept;
+    [[nodiscard]] std::optional<time_point> last_reply_time(const member_id& id) const noexcept;
 
     /// @brief The membership in force at an index of the log, or at its base.
     [[nodiscard]] const membership& members_at(log_index index) const noexcept;
@@ -214,9 +214,9 @@
     }
 
     /// @brief The last term that this replica led and leads no more.
-    [[nodiscard]] const ended_term& last_ended() const noexcept
+    [[nodiscard]] const leadership_record& last_leadership() const noexcept
     {
-        return last_ended_;
+        return last_leadership_;
     }
     [[nodiscard]] const candidacy& last_candidacy() const noexcept
     {
@@ -227,9 +227,9 @@
     void set_snapshot(snapshot latest);
 
     /// @brief A newer snapshot is being saved: until it is set, members that need one get no older one.
-    void await_snapshot(bool awaited) noexcept
+    void set_snapshot_pending(bool pending) noexcept
     {
-        snapshot_awaited_ = awaited;
+        snapshot_pending_ = pending;
     }
 
     [[nodiscard]] bool membership_change_pending() const noexcept
@@ -244,33 +244,35 @@
     {
         log_index match = 0;
         log_index next = 1;
-        bool probing = true;         // one append at a time until it answers
-        bool awaiting = false;       // an answer is due before more is sent in probing
-        time_point awaiting_since{}; // resend after a heartbeat interval
-        log_index snapshot_sent = 0; // the last snapshot that was sent to it; 0: none
-        time_point snapshot_sent_at{};
-        log_index oldest_snapshot = 0; // the first one that was sent since its last answer to one
-        time_point acknowledged_at{};  // when the last answered message was sent, by this clock
-        time_point answered_at{};
-        bool answered = false;
+        bool probing = true;           // one append at a time until it answers
+        bool append_in_flight = false; // an answer is due before more is sent in probing
+        time_point append_sent_at{};   // resend after a heartbeat interval
+        log_index snapshot_sent = 0;   // the last snapshot that was sent to it; 0: none
+        time_point snapshot_sent_time{};
+        log_index first_unacknowledged_snapshot =
+            0;                             // the first one that was sent since its last answer to one
+        time_point acknowledged_sent_at{}; // when the last answered message was sent, by this clock
+        time_point last_reply_at{};
+        bool has_replied = false;
 
         /// @brief Whether a snapshot is under way after which the log goes on.
-        [[nodiscard]] bool snapshot_under_way(time_point now, log_index base, duration resend) const noexcept
+        [[nodiscard]] bool
+        is_snapshot_in_flight(time_point now, log_index base, duration resend) const noexcept
         {
-            return snapshot_sent != 0 && snapshot_sent >= base && now < snapshot_sent_at + resend;
+            return snapshot_sent != 0 && snapshot_sent >= base && now < snapshot_sent_time + resend;
         }
 
-        [[nodiscard]] bool answers(time_point now, const node_options& options) const noexcept
+        [[nodiscard]] bool is_responsive(time_point now, const node_options& options) const noexcept
         {
-            return answered && now < answered_at + options.election_timeout;
+            return has_replied && now < last_reply_at + options.election_timeout;
         }
 
         /// @brief Whether it is likely to ask for the log after what it has, or will have.
         [[nodiscard]] bool is_catching_up(time_point now, const node_options& options) const noexcept
         {
-            const bool gets_snapshot =
-                oldest_snapshot > match && now < snapshot_sent_at + options.snapshot_retention;
-            return answers(now, options) || gets_snapshot;
+            const bool gets_snapshot = first_unacknowledged_snapshot > match &&
+                                       now < snapshot_sent_time + options.log_retention_after_snapshot;
+            return is_responsive(now, options) || gets_snapshot;
         }
     };
 
@@ -283,19 +285,19 @@
     void on(time_point now, const message& received, const install_snapshot& body);
 
     void become_follower(time_point now, term_number term, const member_id& leader);
-    void note_term_end(time_point now, term_end why, term_number seen, const member_id& from);
-    void note_candidacy(time_point now);
-    void note_leader_heard(time_point now);
-    [[nodiscard]] duration since_quorum(time_point now) const;
+    void record_step_down(time_point now, step_down_reason reason, term_number seen, const member_id& from);
+    void record_candidacy(time_point now);
+    void record_leader_contact(time_point now);
+    [[nodiscard]] duration since_quorum_ack(time_point now) const;
     void start_pre_vote(time_point now);
     void start_election(time_point now);
     void become_leader(time_point now);
     void reset_election_timer(time_point now);
     void check_quorum(time_point now);
-    void note_time(time_point now);
-    [[nodiscard]] bool heard_leader_recently(time_point now) const noexcept;
+    void record_event_time(time_point now);
+    [[nodiscard]] bool has_recent_leader_contact(time_point now) const noexcept;
     [[nodiscard]] bool log_is_up_to_date(log_index last_index, term_number last_term) const noexcept;
-    [[nodiscard]] bool wins(const std::set<member_id>& votes) const noexcept;
+    [[nodiscard]] bool has_vote_quorum(const std::set<member_id>& votes) const noexcept;
     [[nodiscard]] bool electable() const noexcept;
 
     void append_local(log_entry entry);
@@ -308,9 +310,9 @@
     void send_snapshot(time_point now, const member_id& to, progress& peer);
     void send(const member_id& to, message_body body);
     [[nodiscard]] const log_entry& at(log_index index) const noexcept;
-    [[nodiscard]] log_index retained_from(log_index compacted) const noexcept;
+    [[nodiscard]] log_index retained_base_index(log_index compacted) const noexcept;
     [[nodiscard]] std::vector<time_point> voter_acknowledgements(time_point own) const;
-    void note_acknowledged(time_point now, progress& peer, std::int64_t sent_at_us);
+    void record_acknowledgement(time_point now, progress& peer, std::int64_t sent_at_us);
 
     member_id id_;
     node_options options_;
@@ -323,13 +325,13 @@
     member_id leader_;
     std::set<member_id> votes_;
     time_point election_deadline_{};
-    time_point heard_leader_at_{};
+    time_point leader_contact_at_{};
     time_point last_event_at_{};
     time_point next_heartbeat_{};
     time_point leader_since_{};
-    time_point last_heard_at_{}; // as heard_leader_at_, but never put forward
-    duration longest_gap_{};     // of own events since the leader was heard, or since the own term began
-    ended_term last_ended_;
+    time_point actual_leader_contact_at_{}; // as leader_contact_at_, but never put forward
+    duration longest_event_gap_{}; // of own events since the leader was heard, or since the own term began
+    leadership_record last_leadership_;
     candidacy last_candidacy_;
 
     log_index base_index_ = 0; // the last index that is only in the snapshot
@@ -337,15 +339,15 @@
     membership base_members_;
     std::vector<log_entry> log_;
     snapshot latest_snapshot_;
-    bool snapshot_awaited_ = false;
+    bool snapshot_pending_ = false;
     log_index commit_index_ = 0;
     log_index delivered_index_ = 0; // handed out as committed
     log_index persisted_index_ = 0;
-    log_index unsent_from_ = 0; // first entry not yet handed out to persist; 0: none
+    log_index unpersisted_from_ = 0; // first entry not yet handed out to persist; 0: none
     log_index pending_truncate_ = 0;
     std::optional<snapshot> pending_install_;
     bool output_taken_ = false;
-    log_index taken_last_index_ = 0;
+    log_index output_last_index_ = 0;
     membership members_;
     log_index members_index_ = 0;
     log_index term_start_index_ = 0; // this leader's first own entry
--- a/include/plumspoke/replica/snapshot_queue.hpp
+++ b/include/plumspoke/replica/snapshot_queue.hpp
@@ -22,30 +22,30 @@
     bool push(message sent);
 
     /// @brief The snapshot that is to be sent now; it is on its way until `finish`.
-    [[nodiscard]] std::optional<message> take();
+    [[nodiscard]] std::optional<message> pop();
 
     /// @param delivered whether it has arrived: then a repeat of it that waits is dropped
     void finish(bool delivered);
 
-    [[nodiscard]] bool has_waiting() const noexcept
+    [[nodiscard]] bool has_pending() const noexcept
     {
-        return waiting_.has_value();
+        return pending_.has_value();
     }
 
   private:
     /// @brief What tells two snapshots apart.
-    struct identity
+    struct snapshot_key
     {
         member_id to;
         log_index index = 0;
 
-        bool operator==(const identity&) const = default;
+        bool operator==(const snapshot_key&) const = default;
     };
 
-    [[nodiscard]] static identity identity_of(const message& sent);
+    [[nodiscard]] static snapshot_key key_of(const message& sent);
 
-    std::optional<message> waiting_;
-    std::optional<identity> in_flight_;
+    std::optional<message> pending_;
+    std::optional<snapshot_key> in_flight_;
 };
 
 } // namespace plumspoke::replica
--- a/include/plumspoke/replica/snapshot_schedule.hpp
+++ b/include/plumspoke/replica/snapshot_schedule.hpp
@@ -19,7 +19,8 @@
 
     /// @param interval the entries between two snapshots
     /// @param saved the index of the one that the disk holds
-    snapshot_schedule(std::size_t interval, log_index saved) noexcept : interval_(interval), saved_(saved)
+    snapshot_schedule(std::size_t interval, log_index saved) noexcept
+        : interval_(interval), saved_index_(saved)
     {
     }
 
@@ -27,7 +28,7 @@
     void on_member_joined(time_point now) noexcept;
 
     /// @brief Whether members that need a snapshot are to wait for a fresh one.
-    [[nodiscard]] bool is_awaited(time_point now, log_index applied) noexcept;
+    [[nodiscard]] bool is_fresh_snapshot_pending(time_point now, log_index applied) noexcept;
 
     /// @param installing a snapshot of the leader's isn't in the state yet
     /// @param idle nothing waits to be applied
@@ -37,16 +38,16 @@
     void on_saved(log_index index) noexcept;
 
     /// @brief The disk had no room for one.
-    void put_off(time_point now) noexcept;
+    void defer(time_point now) noexcept;
 
   private:
-    void drop_wish_if_fresh(log_index applied) noexcept;
+    void clear_request_if_fresh(log_index applied) noexcept;
 
     std::size_t interval_ = 0;
-    log_index saved_ = 0;
-    bool fresh_wanted_ = false;
-    time_point awaited_until_{}; // then a member gets the one that is there
-    time_point next_at_{};
+    log_index saved_index_ = 0;
+    bool fresh_requested_ = false;
+    time_point fresh_deadline_{}; // then a member gets the one that is there
+    time_point next_attempt_at_{};
 };
 
 } // namespace plumspoke::replica
--- a/include/plumspoke/replica/storage.hpp
+++ b/include/plumspoke/replica/storage.hpp
@@ -73,7 +73,7 @@
     [[nodiscard]] std::error_code open(restored_state& restored);
 
     /// @brief Gives an empty folder the identity of a joining learner.
-    [[nodiscard]] std::error_code adopt_identity(const member_id& id);
+    [[nodiscard]] std::error_code write_identity(const member_id& id);
     /// @}
 
     /// @name modifiers
@@ -107,7 +107,7 @@
     /// @}
 
   private:
-    [[nodiscard]] std::error_code take_lock();
+    [[nodiscard]] std::error_code acquire_lock();
     [[nodiscard]] std::error_code write_all(int file, std::string_view left);
     [[nodiscard]] std::error_code write_frame(int file, std::string_view payload);
     [[nodiscard]] std::error_code write_new_file(const std::filesystem::path& path, std::string_view payload);
--- a/src/control/server.cpp
+++ b/src/control/server.cpp
@@ -92,7 +92,7 @@
     int bound_port = 0;
     builder.AddListeningPort(settings_.grpc, grpc::InsecureServerCredentials(), &bound_port);
     builder.AddChannelArgument(GRPC_ARG_ALLOW_REUSEPORT, 0);
-    replica::take_large_messages(builder);
+    replica::allow_large_messages(builder);
     builder.RegisterService(grpc_->replicas.get());
     builder.RegisterService(grpc_->entries.get());
     grpc_->server = builder.BuildAndStart();
@@ -162,7 +162,7 @@
             next_join = now + join_interval;
             join_cluster();
         }
-        if (status.may_act(now))
+        if (status.holds_lease(now))
         {
             become_leader(now, status);
             tick(now);
@@ -265,7 +265,7 @@
 {
     const replica::replica_status status = driver_->status();
     leader_hint hint;
-    hint.self = status.may_act(std::chrono::steady_clock::now());
+    hint.self = status.holds_lease(std::chrono::steady_clock::now());
     hint.name = status.leader_name;
     hint.grpc = status.leader_address;
     for (const settings::control_peer& peer : settings_.control)
@@ -283,7 +283,7 @@
 {
     const time_point now = std::chrono::steady_clock::now();
     const replica::replica_status status = driver_->status();
-    if (!status.may_act(now))
+    if (!status.holds_lease(now))
     {
         ++counters_.worker_reports_refused;
         error = worker::errc::not_leader;
@@ -318,7 +318,7 @@
 {
     const time_point now = std::chrono::steady_clock::now();
     const replica::replica_status status = driver_->status();
-    if (!status.may_act(now))
+    if (!status.holds_lease(now))
     {
         ++counters_.entry_reports_refused;
         error = operators::errc::not_leader;
--- a/src/job_server/control_http.cpp
+++ b/src/job_server/control_http.cpp
@@ -458,7 +458,7 @@
     add_server_lines(lines, counts_);
     const replica::replica_status status = driver_->status();
     add_replica_lines(lines, status);
-    add_processor_lines(lines, meter_, status.processor_us);
+    add_processor_lines(lines, meter_, status.cpu_time_us);
     add_silent_lines(lines);
     add_connection_lines(lines);
     add_http_lines(lines, *http_);
@@ -493,7 +493,7 @@
     constexpr const char* name = "plumspoke_silent_calls_total";
     add(to, name, "kind", "worker_poll", caller_->silent().polls);
     add(to, name, "kind", "worker_order", caller_->silent().orders);
-    add(to, name, "kind", "replica", transport_->silent_calls());
+    add(to, name, "kind", "replica", transport_->timed_out_calls());
     add(to, name, "kind", "leader_link", link_.silent_calls());
 }
 
--- a/src/job_server/control_loop.cpp
+++ b/src/job_server/control_loop.cpp
@@ -156,7 +156,7 @@
     }
     ++window_.steps;
     report_window(now, status);
-    if (!status.may_act(now))
+    if (!status.holds_lease(now))
     {
         ++counts_.steps_without_lease;
         ++window_.without_lease;
@@ -225,12 +225,12 @@
         out.part_us.at(i) = meter_.microseconds(static_cast<loop_part>(i));
     }
     out.process_us = metrics::read_process_microseconds();
-    out.replica_us = status.processor_us;
+    out.replica_us = status.cpu_time_us;
     out.answers = meter_.passes(loop_part::answers);
     out.announcements = counts_.announcements;
     out.silent_polls = caller_->silent().polls;
     out.silent_orders = caller_->silent().orders;
-    out.silent_replicas = transport_->silent_calls();
+    out.silent_replicas = transport_->timed_out_calls();
     return out;
 }
 
@@ -303,7 +303,7 @@
         refuses_jobs_ = false;
         caller_->reset();
     }
-    if (!status.may_act(now))
+    if (!status.holds_lease(now))
     {
         return;
     }
@@ -328,17 +328,17 @@
 
 void control_server::write_retired(time_point now, const replica::replica_status& status) const
 {
-    const replica::ended_term& last = status.last_ended;
+    const replica::leadership_record& last = status.last_leadership;
     logging::event line(part, "retired", "Leads no more.");
     line.with("term", static_cast<std::int64_t>(dispatcher_.term())).with("new_leader", status.leader_name);
     if (last.term == dispatcher_.term())
     {
-        line.with("reason", to_string(last.why))
+        line.with("reason", to_string(last.reason))
             .with("length_ms", to_ms(last.length.count()))
-            .with("since_quorum_ms", to_ms(last.since_quorum.count()))
-            .with("longest_gap_ms", to_ms(last.longest_gap.count()))
-            .with("seen_term", static_cast<std::int64_t>(last.seen_term))
-            .with("seen_from", last.seen_from)
+            .with("since_quorum_ms", to_ms(last.since_quorum_ack.count()))
+            .with("longest_gap_ms", to_ms(last.longest_event_gap.count()))
+            .with("seen_term", static_cast<std::int64_t>(last.higher_term))
+            .with("seen_from", last.higher_term_sender)
             .with("noticed_after_ms", std::chrono::duration_cast<milliseconds>(now - last.ended_at).count());
     }
     line.with("unrenewed_workers",
--- a/src/job_server/control_server.cpp
+++ b/src/job_server/control_server.cpp
@@ -32,7 +32,7 @@
     options.node.heartbeat_interval = milliseconds(settings.heartbeat_ms);
     options.node.drift_margin = milliseconds(settings.drift_margin_ms);
     options.snapshot_interval = static_cast<std::size_t>(settings.snapshot_interval);
-    options.node.wanted_voters = static_cast<std::size_t>(2 * settings.disks_lost_at_once + 1);
+    options.node.target_voter_count = static_cast<std::size_t>(2 * settings.disks_lost_at_once + 1);
     return options;
 }
 
@@ -142,7 +142,7 @@
     int bound_port = 0;
     builder.AddListeningPort(settings_.internal, grpc::InsecureServerCredentials(), &bound_port);
     builder.AddChannelArgument(GRPC_ARG_ALLOW_REUSEPORT, 0);
-    replica::take_large_messages(builder);
+    replica::allow_large_messages(builder);
     end_silent_connections(builder);
     builder.RegisterService(grpc_->replicas.get());
     builder.RegisterService(grpc_->control.get());
--- a/src/job_server/control_service.cpp
+++ b/src/job_server/control_service.cpp
@@ -100,13 +100,13 @@
 
 bool control_server::acting() const
 {
-    return driver_->may_act(std::chrono::steady_clock::now());
+    return driver_->holds_lease(std::chrono::steady_clock::now());
 }
 
 std::optional<std::uint64_t> control_server::acting_term() const
 {
     const replica::replica_status status = driver_->status();
-    return status.may_act(std::chrono::steady_clock::now()) ? std::optional(status.term) : std::nullopt;
+    return status.holds_lease(std::chrono::steady_clock::now()) ? std::optional(status.term) : std::nullopt;
 }
 
 replica::proposal_result control_server::commit(const jobs::command& value,
@@ -174,7 +174,7 @@
                                              wire::LeaderAnswer* reply)
 {
     const replica::replica_status status = owner_.driver_->status();
-    reply->set_acting(status.may_act(std::chrono::steady_clock::now()));
+    reply->set_acting(status.holds_lease(std::chrono::steady_clock::now()));
     reply->set_term(status.term);
     reply->set_leader_address(status.leader_address);
     for (const replica::member& one : status.members.members)
--- a/src/replica/driver.cpp
+++ b/src/replica/driver.cpp
@@ -21,8 +21,8 @@
 
 constexpr auto tick_interval = milliseconds(20);
 constexpr std::size_t max_inbox = 4096;
-constexpr auto disk_retry = milliseconds(50); // of a full disk: room may come back at any time
-constexpr const char* part = "replica";
+constexpr auto disk_full_retry_interval = milliseconds(50); // of a full disk: room may come back at any time
+constexpr const char* log_component = "replica";
 constexpr std::uint64_t nanoseconds_per_microsecond = 1000;
 
 std::int64_t to_ms(duration span)
@@ -44,7 +44,7 @@
 }
 
 /// @brief What is left of a pass's wait for the state.
-duration left_until(time_point until)
+duration remaining_until(time_point until)
 {
     return std::max(duration::zero(),
                     std::chrono::duration_cast<duration>(until - std::chrono::steady_clock::now()));
@@ -52,7 +52,7 @@
 
 } // namespace
 
-std::size_t own_snapshot_interval(std::string_view id, std::size_t set) noexcept
+std::size_t jittered_snapshot_interval(std::string_view id, std::size_t set) noexcept
 {
     // FNV-1a (Fowler, Noll, Vo), 64 bit: the same on each start and build, which std::hash doesn't promise.
     std::uint64_t hash = 0xcbf29ce484222325U;
@@ -81,8 +81,9 @@
     std::error_code failed = storage_.open(restored);
     if (failed == errc::no_identity)
     {
-        failed = storage_.adopt_identity(new_identity(name));
-        PLUMSPOKE_LOG(INFO, part) << "The data folder is empty. Joining as " << storage_.identity() << ".";
+        failed = storage_.write_identity(new_identity(name));
+        PLUMSPOKE_LOG(INFO, log_component)
+            << "The data folder is empty. Joining as " << storage_.identity() << ".";
     }
     if (failed)
     {
@@ -93,7 +94,7 @@
         machine_.restore(restored.base.data);
     }
     applied_index_ = restored.base.index;
-    snapshots_ = {own_snapshot_interval(storage_.identity(), options_.snapshot_interval),
+    snapshots_ = {jittered_snapshot_interval(storage_.identity(), options_.snapshot_interval),
                   restored.base.index};
     synced_hard_ = restored.hard;
     const time_point now = std::chrono::steady_clock::now();
@@ -122,7 +123,7 @@
     {
         thread_.join();
     }
-    fail_all(errc::stopping);
+    fail_all_proposals(errc::stopping);
 }
 
 // ---- events ------------------------------------------------------------------------------------
@@ -138,11 +139,11 @@
     {
         return errc::not_leader;
     }
-    if (proposals_.size() >= options_.max_waiting)
+    if (queued_proposals_.size() >= options_.max_queued_proposals)
     {
         return errc::queue_full;
     }
-    proposals_.push_back({std::move(command), std::move(done)});
+    queued_proposals_.push_back({std::move(command), std::move(done)});
     return {};
 }
 
@@ -176,9 +177,9 @@
 {
     {
         const std::lock_guard lock(mutex_);
-        if (!from_address.empty() && return_addresses_.size() < max_inbox)
+        if (!from_address.empty() && sender_addresses_.size() < max_inbox)
         {
-            return_addresses_[received.from] = from_address;
+            sender_addresses_[received.from] = from_address;
         }
         if (inbox_.size() >= max_inbox)
         {
@@ -198,7 +199,7 @@
     }
     if (status_.members.find(joining.id) == nullptr)
     {
-        joining_.add(joining, std::chrono::steady_clock::now());
+        join_requests_.add(joining, std::chrono::steady_clock::now());
     }
     return true;
 }
@@ -209,10 +210,10 @@
     return status_;
 }
 
-bool driver::may_act(time_point now) const
+bool driver::holds_lease(time_point now) const
 {
     const std::lock_guard lock(mutex_);
-    return status_.may_act(now);
+    return status_.holds_lease(now);
 }
 
 // ---- the thread --------------------------------------------------------------------------------
@@ -220,23 +221,23 @@
 void driver::run()
 {
     std::vector<message> messages;
-    std::vector<waiting_proposal> proposals;
+    std::vector<queued_proposal> proposals;
     while (!stopping_)
     {
         take_events(messages, proposals);
         const time_point now = std::chrono::steady_clock::now();
-        feed(now, messages, proposals);
+        process_events(now, messages, proposals);
         manage_membership(now);
-        if (!flush(now))
+        if (!process_output(now))
         {
             return;
         }
     }
-    node_->resign(std::chrono::steady_clock::now());
+    node_->step_down(std::chrono::steady_clock::now());
     publish();
 }
 
-void driver::take_events(std::vector<message>& messages, std::vector<waiting_proposal>& proposals)
+void driver::take_events(std::vector<message>& messages, std::vector<queued_proposal>& proposals)
 {
     std::unique_lock lock(mutex_);
     wake_.wait_for(lock,
@@ -244,18 +245,22 @@
                    [this]
                    {
                        // Applying has a bounded wait of its own, so there is no pause before it.
-                       return stopping_ || !inbox_.empty() || !proposals_.empty() || !nothing_unapplied();
+                       return stopping_ || !inbox_.empty() || !queued_proposals_.empty() ||
+                              !is_apply_queue_empty();
                    });
     messages.assign(std::make_move_iterator(inbox_.begin()), std::make_move_iterator(inbox_.end()));
     inbox_.clear();
-    const std::size_t room = unapplied_.size() < options_.max_waiting ? options_.max_batch : 0;
-    const auto count = static_cast<std::ptrdiff_t>(std::min(proposals_.size(), room));
-    proposals.assign(std::make_move_iterator(proposals_.begin()),
-                     std::make_move_iterator(proposals_.begin() + count));
-    proposals_.erase(proposals_.begin(), proposals_.begin() + count);
+    const std::size_t capacity =
+        apply_queue_.size() < options_.max_queued_proposals ? options_.max_proposals_per_round : 0;
+    const auto count = static_cast<std::ptrdiff_t>(std::min(queued_proposals_.size(), capacity));
+    proposals.assign(std::make_move_iterator(queued_proposals_.begin()),
+                     std::make_move_iterator(queued_proposals_.begin() + count));
+    queued_proposals_.erase(queued_proposals_.begin(), queued_proposals_.begin() + count);
 }
 
-void driver::feed(time_point now, std::vector<message>& messages, std::vector<waiting_proposal>& proposals)
+void driver::process_events(time_point now,
+                            std::vector<message>& messages,
+                            std::vector<queued_proposal>& proposals)
 {
     for (const message& received : messages)
     {
@@ -268,7 +273,7 @@
     }
     std::vector<std::string> commands;
     commands.reserve(proposals.size());
-    for (waiting_proposal& proposal : proposals)
+    for (queued_proposal& proposal : proposals)
     {
         commands.push_back(std::move(proposal.command));
     }
@@ -277,7 +282,7 @@
     {
         if (first.has_value())
         {
-            sent_[*first + i] = {node_->term(), std::move(proposals[i].done)};
+            pending_proposals_[*first + i] = {node_->term(), std::move(proposals[i].done)};
         }
         else
         {
@@ -286,7 +291,7 @@
     }
 }
 
-bool driver::flush(time_point now)
+bool driver::process_output(time_point now)
 {
     // Twice at most: what a sync completes on a single replica is committed in the second round.
     for (int round = 0; round < 2; ++round)
@@ -294,15 +299,15 @@
         node_output output = node_->take_output();
         if (output.must_sync())
         {
-            const time_point begun = std::chrono::steady_clock::now();
+            const time_point started_at = std::chrono::steady_clock::now();
             if (const std::error_code failed = persist(now, output); failed)
             {
-                PLUMSPOKE_LOG(ERROR, part) << "The disk failed. Stopping. " << failed.message();
-                fail_disk(now, failed);
+                PLUMSPOKE_LOG(ERROR, log_component) << "The disk failed. Stopping. " << failed.message();
+                publish_disk_failure(now, failed);
                 return false;
             }
             synced_hard_ = output.hard.value_or(synced_hard_);
-            log_persisted_snapshot(output, begun);
+            log_persisted_snapshot(output, started_at);
         }
         for (const message& sent : output.messages)
         {
@@ -316,10 +321,10 @@
     }
     const time_point until = std::chrono::steady_clock::now() + tick_interval;
     apply_queued(until);
-    drop_lost_proposals();
+    fail_lost_proposals();
     if (const std::error_code failed = take_snapshot_if_due(until); failed)
     {
-        PLUMSPOKE_LOG(ERROR, part) << "A snapshot failed. Stopping. " << failed.message();
+        PLUMSPOKE_LOG(ERROR, log_component) << "A snapshot failed. Stopping. " << failed.message();
         const std::lock_guard lock(mutex_);
         status_.failure = failed;
         stopping_ = true;
@@ -329,14 +334,16 @@
     return true;
 }
 
-void driver::log_persisted_snapshot(const node_output& output, time_point begun)
+void driver::log_persisted_snapshot(const node_output& output, time_point started_at)
 {
     if (output.installed.has_value())
     {
-        const auto took = std::chrono::duration_cast<duration>(std::chrono::steady_clock::now() - begun);
-        logging::write(logging::event(part, "snapshot_persisted", "The leader's snapshot is on the disk.")
-                           .with("index", static_cast<std::int64_t>(output.installed->index))
-                           .with("took_ms", to_ms(took)));
+        const auto elapsed =
+            std::chrono::duration_cast<duration>(std::chrono::steady_clock::now() - started_at);
+        logging::write(
+            logging::event(log_component, "snapshot_persisted", "The leader's snapshot is on the disk.")
+                .with("index", static_cast<std::int64_t>(output.installed->index))
+                .with("took_ms", to_ms(elapsed)));
     }
 }
 
@@ -350,45 +357,46 @@
     {
         return failed;
     }
-    logging::write(logging::event(part, "disk_full", "The disk takes no more. Waiting for room."));
+    logging::write(logging::event(log_component, "disk_full", "The disk takes no more. Waiting for room."));
     {
         const std::lock_guard lock(mutex_);
-        end_leading(now, term_end::disk_failed);
+        publish_step_down(now, step_down_reason::disk_failed);
     }
     while (failed == errc::disk_full && !stopping_)
     {
-        std::this_thread::sleep_for(disk_retry);
+        std::this_thread::sleep_for(disk_full_retry_interval);
         failed = storage_.persist(output);
     }
     // It was said that this replica leads no more; whoever decides has begun anew. To lead on in the same
     // term would settle what was handed in before as if it had been handed in since.
-    node_->resign(std::chrono::steady_clock::now(), term_end::disk_failed);
+    node_->step_down(std::chrono::steady_clock::now(), step_down_reason::disk_failed);
     const duration waited = std::chrono::duration_cast<duration>(std::chrono::steady_clock::now() - now);
-    logging::write(logging::event(part, "disk_again", "The disk takes records again, or the replica stops.")
-                       .with("waited_ms", to_ms(waited))
-                       .with("error", failed ? failed.message() : ""));
+    logging::write(
+        logging::event(log_component, "disk_again", "The disk takes records again, or the replica stops.")
+            .with("waited_ms", to_ms(waited))
+            .with("error", failed ? failed.message() : ""));
     return failed;
 }
 
 // The lock is held.
-void driver::end_leading(time_point now, term_end why)
+void driver::publish_step_down(time_point now, step_down_reason reason)
 {
     if (status_.is_leader())
     {
-        status_.last_ended = {};
-        status_.last_ended.term = status_.term;
-        status_.last_ended.why = why;
-        status_.last_ended.ended_at = now;
-        status_.last_ended.length = std::chrono::duration_cast<duration>(now - status_.leader_since);
+        status_.last_leadership = {};
+        status_.last_leadership.term = status_.term;
+        status_.last_leadership.reason = reason;
+        status_.last_leadership.ended_at = now;
+        status_.last_leadership.length = std::chrono::duration_cast<duration>(now - status_.leader_since);
     }
     status_.current_role = role::follower;
     status_.lease_end = time_point{};
 }
 
-void driver::fail_disk(time_point now, std::error_code failed)
+void driver::publish_disk_failure(time_point now, std::error_code failed)
 {
     const std::lock_guard lock(mutex_);
-    end_leading(now, term_end::disk_failed);
+    publish_step_down(now, step_down_reason::disk_failed);
     status_.failure = failed;
     stopping_ = true;
 }
@@ -401,11 +409,12 @@
         return;
     }
     candidacies_logged_ = last.number;
-    logging::write(logging::event(part, "election", "Stands for election, since no leader was heard.")
-                       .with("term", static_cast<std::int64_t>(node_->term()))
-                       .with("last_leader", last.last_leader)
-                       .with("since_heard_ms", to_ms(last.since_heard))
-                       .with("longest_gap_ms", to_ms(last.longest_gap)));
+    logging::write(
+        logging::event(log_component, "election", "Stands for election, since no leader was heard.")
+            .with("term", static_cast<std::int64_t>(node_->term()))
+            .with("last_leader", last.last_leader)
+            .with("since_heard_ms", to_ms(last.since_leader_contact))
+            .with("longest_gap_ms", to_ms(last.longest_event_gap)));
 }
 
 std::string driver::address_of(const member_id& id) const
@@ -415,29 +424,29 @@
         return known->address;
     }
     const std::lock_guard lock(mutex_);
-    const auto found = return_addresses_.find(id);
-    return found == return_addresses_.end() ? std::string() : found->second;
+    const auto found = sender_addresses_.find(id);
+    return found == sender_addresses_.end() ? std::string() : found->second;
 }
 
 void driver::queue_output(node_output& output)
 {
     if (output.installed.has_value())
     {
-        unapplied_.clear(); // the snapshot holds them, and what follows is newer
-        lose_proposals_after(0);
+        apply_queue_.clear(); // the snapshot holds them, and what follows is newer
+        fail_proposals_after(0);
         snapshots_.on_saved(output.installed->index);
-        uninstalled_ = std::move(output.installed);
+        snapshot_to_install_ = std::move(output.installed);
     }
     if (!output.committed.empty())
     {
         ++commit_rounds_;
     }
-    std::move(output.committed.begin(), output.committed.end(), std::back_inserter(unapplied_));
+    std::move(output.committed.begin(), output.committed.end(), std::back_inserter(apply_queue_));
 }
 
-bool driver::nothing_unapplied() const noexcept
+bool driver::is_apply_queue_empty() const noexcept
 {
-    return !uninstalled_.has_value() && unapplied_.empty();
+    return !snapshot_to_install_.has_value() && apply_queue_.empty();
 }
 
 void driver::apply_queued(time_point until)
@@ -446,9 +455,9 @@
     {
         return;
     }
-    while (!unapplied_.empty() && apply_one(unapplied_.front(), until))
+    while (!apply_queue_.empty() && apply_one(apply_queue_.front(), until))
     {
-        unapplied_.pop_front();
+        apply_queue_.pop_front();
         if (std::chrono::steady_clock::now() >= until)
         {
             return; // many quick entries hold heartbeats up too
@@ -458,19 +467,19 @@
 
 bool driver::install_queued(time_point until)
 {
-    if (!uninstalled_.has_value())
+    if (!snapshot_to_install_.has_value())
     {
         return true;
     }
-    if (!machine_.try_restore(uninstalled_->data, left_until(until)))
+    if (!machine_.try_restore(snapshot_to_install_->data, remaining_until(until)))
     {
         return false;
     }
-    applied_index_ = uninstalled_->index;
-    logging::write(logging::event(part, "snapshot_taken", "Took a snapshot from the leader.")
+    applied_index_ = snapshot_to_install_->index;
+    logging::write(logging::event(log_component, "snapshot_taken", "Took a snapshot from the leader.")
                        .with("index", static_cast<std::int64_t>(applied_index_))
-                       .with("bytes", static_cast<std::int64_t>(uninstalled_->data.size())));
-    uninstalled_.reset();
+                       .with("bytes", static_cast<std::int64_t>(snapshot_to_install_->data.size())));
+    snapshot_to_install_.reset();
     return true;
 }
 
@@ -479,27 +488,27 @@
     std::optional<std::string> answer = std::string();
     if (entry.kind == entry_kind::command)
     {
-        answer = machine_.try_apply(entry.index, entry.data, left_until(until));
+        answer = machine_.try_apply(entry.index, entry.data, remaining_until(until));
     }
     if (!answer.has_value())
     {
         return false;
     }
     applied_index_ = entry.index;
-    finish(entry, std::move(*answer));
+    complete_proposal(entry, std::move(*answer));
     return true;
 }
 
-void driver::finish(const log_entry& entry, std::string answer)
+void driver::complete_proposal(const log_entry& entry, std::string answer)
 {
-    const auto found = sent_.find(entry.index);
-    if (found == sent_.end())
+    const auto found = pending_proposals_.find(entry.index);
+    if (found == pending_proposals_.end())
     {
         return;
     }
     proposal_callback done = std::move(found->second.done);
     const bool own = found->second.term == entry.term;
-    sent_.erase(found);
+    pending_proposals_.erase(found);
     if (own)
     {
         done({{}, std::move(answer)});
@@ -508,22 +517,22 @@
     done({errc::lost_leadership, {}});
 }
 
-void driver::drop_lost_proposals()
+void driver::fail_lost_proposals()
 {
-    if (node_->current_role() == role::leader || sent_.empty())
+    if (node_->current_role() == role::leader || pending_proposals_.empty())
     {
         return;
     }
     // What is queued is committed, and answered once it is applied.
-    lose_proposals_after(unapplied_.empty() ? 0 : unapplied_.back().index);
+    fail_proposals_after(apply_queue_.empty() ? 0 : apply_queue_.back().index);
 }
 
-void driver::lose_proposals_after(log_index last_kept)
+void driver::fail_proposals_after(log_index last_kept)
 {
-    std::map<log_index, sent_proposal> lost;
-    for (auto at = sent_.upper_bound(last_kept); at != sent_.end();)
+    std::map<log_index, pending_proposal> lost;
+    for (auto at = pending_proposals_.upper_bound(last_kept); at != pending_proposals_.end();)
     {
-        lost.insert(sent_.extract(at++));
+        lost.insert(pending_proposals_.extract(at++));
     }
     // Whether they end up committed is the next leader's to say, so the answer is honest: not known.
     for (auto& [index, proposal] : lost)
@@ -532,19 +541,19 @@
     }
 }
 
-void driver::fail_all(std::error_code error)
+void driver::fail_all_proposals(std::error_code error)
 {
-    std::map<log_index, sent_proposal> sent = std::exchange(sent_, {});
-    std::deque<waiting_proposal> waiting;
+    std::map<log_index, pending_proposal> sent = std::exchange(pending_proposals_, {});
+    std::deque<queued_proposal> waiting;
     {
         const std::lock_guard lock(mutex_);
-        waiting = std::exchange(proposals_, {});
+        waiting = std::exchange(queued_proposals_, {});
     }
     for (auto& [index, proposal] : sent)
     {
         proposal.done({error, {}});
     }
-    for (waiting_proposal& proposal : waiting)
+    for (queued_proposal& proposal : waiting)
     {
         proposal.done({error, {}});
     }
@@ -553,12 +562,12 @@
 std::error_code driver::take_snapshot_if_due(time_point until)
 {
     const time_point now = std::chrono::steady_clock::now();
-    node_->await_snapshot(snapshots_.is_awaited(now, applied_index_));
-    if (!snapshots_.is_due(now, applied_index_, uninstalled_.has_value(), nothing_unapplied()))
+    node_->set_snapshot_pending(snapshots_.is_fresh_snapshot_pending(now, applied_index_));
+    if (!snapshots_.is_due(now, applied_index_, snapshot_to_install_.has_value(), is_apply_queue_empty()))
     {
         return {};
     }
-    std::optional<std::string> saved = machine_.try_save(left_until(until));
+    std::optional<std::string> saved = machine_.try_save(remaining_until(until));
     if (!saved.has_value())
     {
         return {}; // the state is held; due at the next pass too
@@ -575,8 +584,9 @@
     node_->set_snapshot(std::move(state));
     if (failed == errc::disk_full)
     {
-        snapshots_.put_off(std::chrono::steady_clock::now());
-        logging::write(logging::event(part, "snapshot_put_off", "The disk has no room for a snapshot."));
+        snapshots_.defer(std::chrono::steady_clock::now());
+        logging::write(
+            logging::event(log_component, "snapshot_put_off", "The disk has no room for a snapshot."));
         return {};
     }
     if (failed)
@@ -584,7 +594,7 @@
         return failed;
     }
     snapshots_.on_saved(applied_index_);
-    PLUMSPOKE_LOG(DEBUG, part) << "Saved a snapshot up to " << applied_index_ << ".";
+    PLUMSPOKE_LOG(DEBUG, log_component) << "Saved a snapshot up to " << applied_index_ << ".";
     return {};
 }
 
@@ -593,7 +603,7 @@
     std::vector<member> joining;
     {
         const std::lock_guard lock(mutex_);
-        joining = joining_.open(now, node_->members());
+        joining = join_requests_.pending(now, node_->members());
     }
     if (node_->current_role() != role::leader || node_->membership_change_pending())
     {
@@ -601,14 +611,14 @@
     }
     if (const std::optional<membership> changed = next_membership(*node_, joining, now, options_.node))
     {
-        const bool takes_in = node_->members().find(changed->members.back().id) == nullptr;
+        const bool adds_learner = node_->members().find(changed->members.back().id) == nullptr;
         if (node_->propose_membership(now, *changed))
         {
-            if (takes_in)
+            if (adds_learner)
             {
                 snapshots_.on_member_joined(now);
             }
-            logging::write(logging::event(part, "membership", "The membership changes.")
+            logging::write(logging::event(log_component, "membership", "The membership changes.")
                                .with("members", static_cast<std::int64_t>(changed->members.size()))
                                .with("voters", static_cast<std::int64_t>(changed->voter_count()))
                                .with("last_member", changed->members.back().id));
@@ -644,13 +654,13 @@
     status.term_committed = node_->term_committed() && applied_index_ >= node_->term_start_index();
     status.sync_count = storage_.sync_count();
     status.commit_rounds = commit_rounds_;
-    status.last_ended = node_->last_ended();
-    status.processor_us = metrics::read_thread_nanoseconds() / nanoseconds_per_microsecond;
+    status.last_leadership = node_->last_leadership();
+    status.cpu_time_us = metrics::read_thread_nanoseconds() / nanoseconds_per_microsecond;
     const std::lock_guard lock(mutex_);
     if (status.current_role != status_.current_role || status.term != status_.term)
     {
-        PLUMSPOKE_LOG(INFO, part) << "Term " << status.term << ", now "
-                                  << (status.is_leader() ? "leader." : "not leader.");
+        PLUMSPOKE_LOG(INFO, log_component)
+            << "Term " << status.term << ", now " << (status.is_leader() ? "leader." : "not leader.");
     }
     status_ = std::move(status);
 }
--- a/src/replica/frame.cpp
+++ b/src/replica/frame.cpp
@@ -13,9 +13,9 @@
 {
 
 using crc32c_computer = boost::crc_optimal<32, 0x1EDC6F41, 0xFFFFFFFF, 0xFFFFFFFF, true, true>;
-constexpr std::size_t checked_header_size = 8;
+constexpr std::size_t checksummed_header_size = 8;
 
-void put(std::string& out, std::uint32_t value)
+void append_little_endian(std::string& out, std::uint32_t value)
 {
     const std::uint32_t little = boost::endian::native_to_little(value);
     std::array<char, sizeof little> bytes{};
@@ -23,7 +23,7 @@
     out.append(bytes.data(), bytes.size());
 }
 
-std::uint32_t get(std::string_view bytes, std::size_t at) noexcept
+std::uint32_t read_little_endian(std::string_view bytes, std::size_t at) noexcept
 {
     std::uint32_t little = 0;
     std::memcpy(&little, bytes.data() + at, sizeof little);
@@ -36,24 +36,25 @@
     {
         return std::nullopt;
     }
-    if (crc32c(bytes.substr(at, checked_header_size)) != get(bytes, at + checked_header_size))
+    if (crc32c(bytes.substr(at, checksummed_header_size)) !=
+        read_little_endian(bytes, at + checksummed_header_size))
     {
         return std::nullopt;
     }
-    const std::size_t length = get(bytes, at);
+    const std::size_t length = read_little_endian(bytes, at);
     if (bytes.size() - at - frame_header_size < length)
     {
         return std::nullopt;
     }
     const std::string_view payload = bytes.substr(at + frame_header_size, length);
-    if (crc32c(payload) != get(bytes, at + 4))
+    if (crc32c(payload) != read_little_endian(bytes, at + 4))
     {
         return std::nullopt;
     }
     return payload;
 }
 
-bool any_frame_behind(std::string_view bytes, std::size_t at)
+bool has_valid_frame_after(std::string_view bytes, std::size_t at)
 {
     for (std::size_t offset = at + 1; offset + frame_header_size <= bytes.size(); ++offset)
     {
@@ -78,9 +79,9 @@
 {
     std::string frame;
     frame.reserve(frame_header_size + payload.size());
-    put(frame, static_cast<std::uint32_t>(payload.size()));
-    put(frame, crc32c(payload));
-    put(frame, crc32c(frame));
+    append_little_endian(frame, static_cast<std::uint32_t>(payload.size()));
+    append_little_endian(frame, crc32c(payload));
+    append_little_endian(frame, crc32c(frame));
     frame.append(payload);
     return frame;
 }
@@ -94,7 +95,7 @@
         const std::optional<std::string_view> payload = read_frame(bytes, at);
         if (!payload.has_value())
         {
-            result.end = any_frame_behind(bytes, at) ? tail::damaged : tail::torn;
+            result.end = has_valid_frame_after(bytes, at) ? tail::damaged : tail::torn;
             return result;
         }
         result.payloads.push_back(*payload);
--- a/src/replica/grpc_transport.cpp
+++ b/src/replica/grpc_transport.cpp
@@ -21,34 +21,34 @@
 namespace
 {
 
-constexpr std::size_t max_queued = 256;
-constexpr auto join_limit = milliseconds(500);
+constexpr std::size_t max_queued_messages = 256;
+constexpr auto join_timeout = milliseconds(500);
 // A call takes about 2 ms. A heartbeat (each 150 ms) and its answer may both meet a silent connection, and
 // must come through on new ones within the shortest leader's lease (600 ms).
 constexpr auto min_call_timeout = milliseconds(150);
 constexpr auto max_call_timeout = milliseconds(500);
-constexpr int usual_times = 4; // the timeout of a slow peer is so many times its last answer's time
+constexpr int timeout_factor = 4; // the timeout of a slow peer is so many times its last answer's time
 // What two busy machines with a third of a processor each were seen to pass on: 1.2 MB in 1.35 s.
-constexpr std::size_t least_bytes_per_ms = 1000;
+constexpr std::size_t min_bytes_per_ms = 1000;
 // A call carries no more: what waits behind it are heartbeats, and a call that grows with each try that
 // failed never keeps its limit.
-constexpr std::size_t most_batch_bytes = 128 * 1024;
+constexpr std::size_t max_batch_bytes = 128 * 1024;
 // A snapshot has a connection of its own, where nothing waits behind it. Its limit is one that it keeps at
 // any size: both ends may have a third of a processor each, and be busy otherwise.
 constexpr auto snapshot_call_timeout = milliseconds(2000);
-constexpr std::size_t least_snapshot_bytes_per_ms = 500;
+constexpr std::size_t min_snapshot_bytes_per_ms = 500;
 constexpr int max_message_bytes = 256 << 20;
 // What a sender may have under way on a call. With the library's 64 KB each stretch waits until both ends
 // have had their turn on a busy processor: some 50 ms, which comes to 1 MB/s.
 constexpr int stream_lookahead_bytes = 8 << 20;
 
 // For batches: short, so that a VM that returns is reached soon.
-constexpr auto connect_limit = milliseconds(100);
+constexpr auto connect_timeout = milliseconds(100);
 // For snapshots: both ends may be so busy that a connection takes longer. With 100 ms none of six tries
 // within 5 s was more than an attempt to connect.
-constexpr auto patient_connect_limit = milliseconds(2000);
+constexpr auto snapshot_connect_timeout = milliseconds(2000);
 
-std::shared_ptr<grpc::Channel> make_channel(const std::string& address, milliseconds limit = connect_limit)
+std::shared_ptr<grpc::Channel> make_channel(const std::string& address, milliseconds limit = connect_timeout)
 {
     grpc::ChannelArguments arguments;
     arguments.SetMaxReceiveMessageSize(max_message_bytes);
@@ -66,7 +66,7 @@
 struct grpc_transport::transport_counts
 {
     std::atomic<std::uint64_t> bytes{0};
-    std::atomic<std::uint64_t> silent_calls{0};
+    std::atomic<std::uint64_t> timed_out_calls{0};
 };
 
 /// @brief One address, its queue and its thread.
@@ -99,7 +99,7 @@
     {
         {
             const std::lock_guard lock(mutex_);
-            if (queue_.size() >= max_queued)
+            if (queue_.size() >= max_queued_messages)
             {
                 queue_.pop_front(); // the oldest is the least useful; replicas repeat what matters
             }
@@ -139,7 +139,7 @@
         while (!queue_.empty())
         {
             bytes += queue_.front().ByteSizeLong();
-            if (to.messages_size() > 0 && bytes > most_batch_bytes)
+            if (to.messages_size() > 0 && bytes > max_batch_bytes)
             {
                 return; // the rest has the next call
             }
@@ -150,7 +150,7 @@
 
     void deliver(wire::ReplicaBatch& sent)
     {
-        if (attempt(sent))
+        if (try_deliver(sent))
         {
             return;
         }
@@ -164,31 +164,32 @@
             }
             add_queued(sent);
         }
-        (void)attempt(sent); // where it fails again, the node's own repeats are left
+        (void)try_deliver(sent); // where it fails again, the node's own repeats are left
     }
 
-    [[nodiscard]] bool attempt(const wire::ReplicaBatch& sent)
+    [[nodiscard]] bool try_deliver(const wire::ReplicaBatch& sent)
     {
-        const time_point begun = std::chrono::steady_clock::now();
+        const time_point started_at = std::chrono::steady_clock::now();
         const std::size_t bytes = sent.ByteSizeLong();
-        const auto way = milliseconds(bytes / least_bytes_per_ms);
+        const auto transfer_time = milliseconds(bytes / min_bytes_per_ms);
         grpc::ClientContext context;
-        context.set_deadline(std::chrono::system_clock::now() + call_timeout_ + way);
+        context.set_deadline(std::chrono::system_clock::now() + call_timeout_ + transfer_time);
         wire::Ack ack;
         counts_.bytes += bytes;
         const grpc::Status status = stub_->Deliver(&context, sent, &ack);
         if (status.ok())
         {
-            const auto took =
-                std::chrono::duration_cast<milliseconds>(std::chrono::steady_clock::now() - begun);
+            const auto elapsed =
+                std::chrono::duration_cast<milliseconds>(std::chrono::steady_clock::now() - started_at);
             answered_ = true;
-            call_timeout_ = std::clamp<milliseconds>(usual_times * took, min_call_timeout, max_call_timeout);
+            call_timeout_ =
+                std::clamp<milliseconds>(timeout_factor * elapsed, min_call_timeout, max_call_timeout);
             return true;
         }
         call_timeout_ = std::min<milliseconds>(2 * call_timeout_, max_call_timeout);
         if (status.error_code() == grpc::StatusCode::DEADLINE_EXCEEDED)
         {
-            counts_.silent_calls += answered_ ? 1 : 0;
+            counts_.timed_out_calls += answered_ ? 1 : 0;
             answered_ = false;
             // Silence may last for good on this connection while a new one works; a refusal tells of itself.
             stub_ = wire::ReplicaPeer::NewStub(make_channel(address_));
@@ -211,10 +212,10 @@
 
 /// @brief Snapshots to one address: a connection and a thread of their own, so that no heartbeat waits behind
 ///        them.
-class grpc_transport::snapshot_lane
+class grpc_transport::snapshot_sender
 {
   public:
-    snapshot_lane(std::string address, std::string own_address, transport_counts& counts)
+    snapshot_sender(std::string address, std::string own_address, transport_counts& counts)
         : address_(std::move(address)), own_address_(std::move(own_address)), counts_(counts), thread_(
                                                                                                    [this]
                                                                                                    {
@@ -222,17 +223,17 @@
                                                                                                    })
     {
     }
-    snapshot_lane(const snapshot_lane&) = delete;
-    snapshot_lane& operator=(const snapshot_lane&) = delete;
+    snapshot_sender(const snapshot_sender&) = delete;
+    snapshot_sender& operator=(const snapshot_sender&) = delete;
 
-    ~snapshot_lane()
+    ~snapshot_sender()
     {
         {
             const std::lock_guard lock(mutex_);
             stopping_ = true;
-            if (under_way_ != nullptr)
+            if (in_flight_call_ != nullptr)
             {
-                under_way_->TryCancel();
+                in_flight_call_->TryCancel();
             }
         }
         wake_.notify_one();
@@ -243,9 +244,9 @@
     {
         {
             const std::lock_guard lock(mutex_);
-            if (queue_.push(sent) && under_way_ != nullptr)
+            if (queue_.push(sent) && in_flight_call_ != nullptr)
             {
-                under_way_->TryCancel();
+                in_flight_call_->TryCancel();
             }
         }
         wake_.notify_one();
@@ -264,42 +265,42 @@
                 wake_.wait(lock,
                            [this]
                            {
-                               return stopping_ || queue_.has_waiting();
+                               return stopping_ || queue_.has_pending();
                            });
                 if (stopping_)
                 {
                     return;
                 }
-                *next.add_messages() = to_wire(*queue_.take());
-                under_way_ = &context;
+                *next.add_messages() = to_wire(*queue_.pop());
+                in_flight_call_ = &context;
             }
             const bool delivered = deliver(context, next);
             const std::lock_guard lock(mutex_);
-            under_way_ = nullptr;
+            in_flight_call_ = nullptr;
             queue_.finish(delivered);
         }
     }
 
     [[nodiscard]] bool deliver(grpc::ClientContext& context, const wire::ReplicaBatch& sent)
     {
-        const time_point begun = std::chrono::steady_clock::now();
+        const time_point started_at = std::chrono::steady_clock::now();
         const std::size_t bytes = sent.ByteSizeLong();
         const wire::SnapshotMeta& what = sent.messages(0).install_snapshot().snapshot().meta();
         context.set_deadline(std::chrono::system_clock::now() + snapshot_call_timeout +
-                             milliseconds(bytes / least_snapshot_bytes_per_ms));
+                             milliseconds(bytes / min_snapshot_bytes_per_ms));
         counts_.bytes += bytes;
         // A new connection each time: snapshots are rare, and an old one may have gone silent.
-        const auto stub = wire::ReplicaPeer::NewStub(make_channel(address_, patient_connect_limit));
+        const auto stub = wire::ReplicaPeer::NewStub(make_channel(address_, snapshot_connect_timeout));
         wire::Ack ack;
         const grpc::Status status = stub->Deliver(&context, sent, &ack);
-        const auto took = std::chrono::steady_clock::now() - begun;
+        const auto elapsed = std::chrono::steady_clock::now() - started_at;
         logging::write(
             logging::event("replica", "snapshot_sent", "A snapshot went to a member, or failed to.")
                 .with("to", address_)
                 .with("member", sent.messages(0).to())
                 .with("index", static_cast<std::int64_t>(what.index()))
                 .with("bytes", static_cast<std::int64_t>(bytes))
-                .with("took_ms", std::chrono::duration_cast<milliseconds>(took).count())
+                .with("took_ms", std::chrono::duration_cast<milliseconds>(elapsed).count())
                 .with("error", status.ok() ? "" : status.error_message()));
         return status.ok();
     }
@@ -310,7 +311,7 @@
     std::mutex mutex_;
     std::condition_variable wake_;
     snapshot_queue queue_;
-    grpc::ClientContext* under_way_ = nullptr;
+    grpc::ClientContext* in_flight_call_ = nullptr;
     bool stopping_ = false;
     std::thread thread_;
 };
@@ -334,13 +335,13 @@
         return *found;
     }
 
-    snapshot_lane& lane_to(const std::string& address)
+    snapshot_sender& snapshot_sender_for(const std::string& address)
     {
         const std::lock_guard lock(mutex_);
-        std::unique_ptr<snapshot_lane>& found = lanes_[address];
+        std::unique_ptr<snapshot_sender>& found = snapshot_senders_[address];
         if (found == nullptr)
         {
-            found = std::make_unique<snapshot_lane>(address, own_address_, counts_);
+            found = std::make_unique<snapshot_sender>(address, own_address_, counts_);
         }
         return *found;
     }
@@ -355,7 +356,7 @@
     std::mutex mutex_;
     transport_counts counts_;
     std::map<std::string, std::unique_ptr<peer>> peers_;
-    std::map<std::string, std::unique_ptr<snapshot_lane>> lanes_;
+    std::map<std::string, std::unique_ptr<snapshot_sender>> snapshot_senders_;
 };
 
 grpc_transport::grpc_transport(std::string own_address)
@@ -369,7 +370,7 @@
 {
     if (std::holds_alternative<install_snapshot>(sent.body))
     {
-        peers_->lane_to(address).send(sent);
+        peers_->snapshot_sender_for(address).send(sent);
         return;
     }
     peers_->at(address).send(to_wire(sent));
@@ -380,9 +381,9 @@
     return peers_->counts().bytes;
 }
 
-std::uint64_t grpc_transport::silent_calls() const noexcept
+std::uint64_t grpc_transport::timed_out_calls() const noexcept
 {
-    return peers_->counts().silent_calls;
+    return peers_->counts().timed_out_calls;
 }
 
 namespace
@@ -426,7 +427,7 @@
 
 } // namespace
 
-void take_large_messages(grpc::ServerBuilder& builder)
+void allow_large_messages(grpc::ServerBuilder& builder)
 {
     builder.SetMaxReceiveMessageSize(max_message_bytes);
     builder.AddChannelArgument(GRPC_ARG_HTTP2_STREAM_LOOKAHEAD_BYTES, stream_lookahead_bytes);
@@ -441,7 +442,7 @@
 {
     const auto stub = wire::ReplicaPeer::NewStub(make_channel(address));
     grpc::ClientContext context;
-    context.set_deadline(std::chrono::system_clock::now() + join_limit);
+    context.set_deadline(std::chrono::system_clock::now() + join_timeout);
     wire::JoinRequest request;
     *request.mutable_member() = to_wire(joining);
     wire::JoinReply reply;
--- a/src/replica/join_requests.cpp
+++ b/src/replica/join_requests.cpp
@@ -8,7 +8,8 @@
 namespace
 {
 
-constexpr auto retention = milliseconds(1500); // a process that still wants to join asks again within it
+constexpr auto request_lifetime =
+    milliseconds(1500); // a process that still wants to join asks again within it
 
 } // namespace
 
@@ -22,7 +23,7 @@
                                     });
     if (found != requests_.end() && found->joining.id == joining.id)
     {
-        found->asked_at = now;
+        found->received_at = now;
         return;
     }
     if (found != requests_.end())
@@ -32,12 +33,13 @@
     requests_.push_back({joining, now});
 }
 
-std::vector<member> join_requests::open(time_point now, const membership& present)
+std::vector<member> join_requests::pending(time_point now, const membership& present)
 {
     std::erase_if(requests_,
                   [now, &present](const request& one)
                   {
-                      return now > one.asked_at + retention || present.find(one.joining.id) != nullptr;
+                      return now > one.received_at + request_lifetime ||
+                             present.find(one.joining.id) != nullptr;
                   });
     std::vector<member> out;
     out.reserve(requests_.size());
--- a/src/replica/membership_change.cpp
+++ b/src/replica/membership_change.cpp
@@ -15,14 +15,14 @@
 constexpr log_index promotion_lag = 64; // entries: a tenth of a second at full load
 
 /// @brief How long a member has not answered; a leader that is young gives each the time since it began.
-duration silence_of(const node& leader, const member& of, time_point now)
+duration time_since_reply(const node& leader, const member& of, time_point now)
 {
     if (of.id == leader.id())
     {
         return duration(0);
     }
     const time_point heard =
-        std::max(leader.last_answer(of.id).value_or(time_point{}), leader.leader_since());
+        std::max(leader.last_reply_time(of.id).value_or(time_point{}), leader.leader_since());
     return std::chrono::duration_cast<duration>(now - heard);
 }
 
@@ -35,7 +35,7 @@
 
 /// @brief Whether a later member holds this one's name: the same VM with another disk.
 /// @note Members are in the order in which they came: what replaces a disk came after it.
-bool is_replaced(const membership& all, const member& old, bool by_voter)
+bool has_successor(const membership& all, const member& old, bool by_voter)
 {
     bool after = false;
     for (const member& one : all.members)
@@ -50,40 +50,44 @@
 }
 
 /// @brief A voter that is silent and whose disk is lost, or that has been silent for long.
-const member* find_replaceable(const node& leader, time_point now, const node_options& options)
+const member* find_replaceable_voter(const node& leader, time_point now, const node_options& options)
 {
-    const member* longest = nullptr;
-    duration most = options.replace_after;
+    const member* longest_silent = nullptr;
+    duration longest_silence = options.voter_replacement_timeout;
     for (const member& one : leader.members().members)
     {
-        const duration silence = silence_of(leader, one, now);
-        if (one.voter && is_replaced(leader.members(), one, false) && silence > options.election_timeout)
+        const duration since_reply = time_since_reply(leader, one, now);
+        if (one.voter && has_successor(leader.members(), one, false) &&
+            since_reply > options.election_timeout)
         {
             return &one;
         }
-        if (one.voter && silence > most)
+        if (one.voter && since_reply > longest_silence)
         {
-            longest = &one;
-            most = silence;
+            longest_silent = &one;
+            longest_silence = since_reply;
         }
     }
-    return longest;
+    return longest_silent;
 }
 
 std::optional<membership> promote_learner(const node& leader, time_point now, const node_options& options)
 {
     membership changed = leader.members();
-    const bool room = options.wanted_voters == 0 || changed.voter_count() < options.wanted_voters;
-    const bool replaces = options.wanted_voters > 0 && changed.voter_count() == options.wanted_voters &&
-                          find_replaceable(leader, now, options) != nullptr;
-    if (!room && !replaces)
+    const bool has_vacancy =
+        options.target_voter_count == 0 || changed.voter_count() < options.target_voter_count;
+    const bool can_replace = options.target_voter_count > 0 &&
+                             changed.voter_count() == options.target_voter_count &&
+                             find_replaceable_voter(leader, now, options) != nullptr;
+    if (!has_vacancy && !can_replace)
     {
         return std::nullopt;
     }
     for (member& learner : changed.members)
     {
-        const bool answers = silence_of(leader, learner, now) <= options.replace_after;
-        if (!learner.voter && has_caught_up(leader, learner) && answers)
+        const bool is_responsive =
+            time_since_reply(leader, learner, now) <= options.voter_replacement_timeout;
+        if (!learner.voter && has_caught_up(leader, learner) && is_responsive)
         {
             // Promoted first, and the lost disk removed after: the quorum never rests on fewer copies.
             learner.voter = true;
@@ -107,15 +111,15 @@
     };
     for (const member& old : leader.members().members)
     {
-        const bool silent = silence_of(leader, old, now) > options.election_timeout;
-        if (old.id != leader.id() && silent && is_replaced(leader.members(), old, true))
+        const bool silent = time_since_reply(leader, old, now) > options.election_timeout;
+        if (old.id != leader.id() && silent && has_successor(leader.members(), old, true))
         {
             return remove(old.id);
         }
     }
-    if (options.wanted_voters > 0 && changed.voter_count() > options.wanted_voters)
+    if (options.target_voter_count > 0 && changed.voter_count() > options.target_voter_count)
     {
-        if (const member* silent = find_replaceable(leader, now, options); silent != nullptr)
+        if (const member* silent = find_replaceable_voter(leader, now, options); silent != nullptr)
         {
             return remove(silent->id);
         }
@@ -124,7 +128,7 @@
 }
 
 std::optional<membership>
-take_in(const node& leader, std::span<const member> joining, time_point now, const node_options& options)
+add_learner(const node& leader, std::span<const member> joining, time_point now, const node_options& options)
 {
     membership changed = leader.members();
     for (const member& one : joining)
@@ -134,7 +138,7 @@
         const bool name_in_use =
             same_name != nullptr &&
             (same_name->id == leader.id() ||
-             leader.last_answer(same_name->id).value_or(time_point{}) + options.election_timeout > now);
+             leader.last_reply_time(same_name->id).value_or(time_point{}) + options.election_timeout > now);
         if (!known && !name_in_use)
         {
             std::erase_if(changed.members,
@@ -164,7 +168,7 @@
     {
         return changed;
     }
-    return take_in(leader, joining, now, options);
+    return add_learner(leader, joining, now, options);
 }
 
 } // namespace plumspoke::replica
--- a/src/replica/node.cpp
+++ b/src/replica/node.cpp
@@ -15,7 +15,7 @@
 
 node::node(member_id id, node_options options, restored_state restored, time_point now, std::uint64_t seed)
     : id_(std::move(id)), options_(options), random_state_(seed), hard_(std::move(restored.hard)),
-      heard_leader_at_(now), last_event_at_(now), last_heard_at_(now)
+      leader_contact_at_(now), last_event_at_(now), actual_leader_contact_at_(now)
 {
     base_index_ = restored.base.index;
     base_term_ = restored.base.term;
@@ -25,7 +25,7 @@
     commit_index_ = base_index_;
     delivered_index_ = base_index_;
     persisted_index_ = last_index();
-    taken_last_index_ = persisted_index_;
+    output_last_index_ = persisted_index_;
     adopt_membership();
     reset_election_timer(now);
 }
@@ -83,14 +83,14 @@
     return found == peers_.end() ? 0 : found->second.match;
 }
 
-std::optional<time_point> node::last_answer(const member_id& id) const noexcept
+std::optional<time_point> node::last_reply_time(const member_id& id) const noexcept
 {
     const auto found = peers_.find(id);
-    if (found == peers_.end() || !found->second.answered)
+    if (found == peers_.end() || !found->second.has_replied)
     {
         return std::nullopt;
     }
-    return found->second.answered_at;
+    return found->second.last_reply_at;
 }
 
 std::vector<time_point> node::voter_acknowledgements(time_point own) const
@@ -108,7 +108,7 @@
             continue;
         }
         const auto found = peers_.find(one.id);
-        times.push_back(found == peers_.end() ? time_point{} : found->second.acknowledged_at);
+        times.push_back(found == peers_.end() ? time_point{} : found->second.acknowledged_sent_at);
     }
     std::sort(times.begin(), times.end(), std::greater<>());
     return times;
@@ -141,7 +141,7 @@
 void node::set_snapshot(snapshot latest)
 {
     latest_snapshot_ = std::move(latest);
-    snapshot_awaited_ = false;
+    snapshot_pending_ = false;
 }
 
 node_output node::take_output()
@@ -154,13 +154,13 @@
     }
     output.truncate_from = std::exchange(pending_truncate_, 0);
     output.installed = std::exchange(pending_install_, std::nullopt);
-    if (unsent_from_ != 0)
+    if (unpersisted_from_ != 0)
     {
-        for (log_index index = std::max(unsent_from_, base_index_ + 1); index <= last_index(); ++index)
+        for (log_index index = std::max(unpersisted_from_, base_index_ + 1); index <= last_index(); ++index)
         {
             output.entries.push_back(at(index));
         }
-        unsent_from_ = 0;
+        unpersisted_from_ = 0;
     }
     output.messages = std::exchange(messages_, {});
     for (log_index index = delivered_index_ + 1; index <= commit_index_; ++index)
@@ -168,19 +168,20 @@
         output.committed.push_back(at(index));
     }
     delivered_index_ = std::max(delivered_index_, commit_index_);
-    taken_last_index_ = last_index();
+    output_last_index_ = last_index();
     return output;
 }
 
 // ---- events ------------------------------------------------------------------------------------
 
-void node::note_time(time_point now)
+void node::record_event_time(time_point now)
 {
-    longest_gap_ = std::max(longest_gap_, std::chrono::duration_cast<duration>(now - last_event_at_));
+    longest_event_gap_ =
+        std::max(longest_event_gap_, std::chrono::duration_cast<duration>(now - last_event_at_));
     // Frozen, or a clock that jumped: how long ago the leader was heard is not known, as after a restart.
     if (role_ != role::leader && now > last_event_at_ + options_.election_timeout / 2)
     {
-        heard_leader_at_ = now;
+        leader_contact_at_ = now;
         reset_election_timer(now);
     }
     last_event_at_ = now;
@@ -188,7 +189,7 @@
 
 void node::tick(time_point now)
 {
-    note_time(now);
+    record_event_time(now);
     if (role_ == role::leader)
     {
         check_quorum(now);
@@ -215,10 +216,10 @@
     {
         return; // meant for an older disk under this address
     }
-    note_time(now);
+    record_event_time(now);
     const bool is_pre_vote = std::holds_alternative<pre_vote>(received.body);
     const bool is_vote = std::holds_alternative<vote>(received.body);
-    if ((is_pre_vote || is_vote) && heard_leader_recently(now))
+    if ((is_pre_vote || is_vote) && has_recent_leader_contact(now))
     {
         return; // dissertation 4.2.3: a live leader is not disturbed, and its lease stays true
     }
@@ -228,7 +229,7 @@
     {
         const bool from_leader = std::holds_alternative<append>(received.body) ||
                                  std::holds_alternative<install_snapshot>(received.body);
-        note_term_end(now, term_end::higher_term, received.term, received.from);
+        record_step_down(now, step_down_reason::higher_term, received.term, received.from);
         become_follower(now, received.term, from_leader ? received.from : member_id());
     }
     std::visit(
@@ -274,7 +275,7 @@
 
 void node::persisted(time_point /*now*/)
 {
-    persisted_index_ = std::min(taken_last_index_, last_index());
+    persisted_index_ = std::min(output_last_index_, last_index());
     if (role_ != role::leader)
     {
         return;
@@ -288,7 +289,7 @@
     {
         return;
     }
-    index = retained_from(index);
+    index = retained_base_index(index);
     const term_number new_base_term = *term_at(index);
     base_members_ = membership(members_at(index));
     log_.erase(log_.begin(), log_.begin() + static_cast<std::ptrdiff_t>(index - base_index_));
@@ -298,20 +299,20 @@
 
 // A member that has a snapshot, or nearly all of the log, needs what comes after it. Without it the snapshot
 // that is on its way is worth nothing once the next one is saved.
-log_index node::retained_from(log_index compacted) const noexcept
+log_index node::retained_base_index(log_index compacted) const noexcept
 {
     if (role_ != role::leader)
     {
         return compacted;
     }
     // What a member has is known once it has answered this leader.
-    const bool is_young = last_event_at_ < leader_since_ + options_.election_timeout;
+    const bool is_newly_elected = last_event_at_ < leader_since_ + options_.election_timeout;
     log_index from = compacted;
     for (const auto& [id, peer] : peers_)
     {
-        if (is_young || peer.is_catching_up(last_event_at_, options_))
+        if (is_newly_elected || peer.is_catching_up(last_event_at_, options_))
         {
-            from = std::min(from, std::max(peer.match, peer.oldest_snapshot));
+            from = std::min(from, std::max(peer.match, peer.first_unacknowledged_snapshot));
         }
     }
     std::size_t bytes = 0;
@@ -328,34 +329,34 @@
     return retained;
 }
 
-void node::resign(time_point now, term_end why)
+void node::step_down(time_point now, step_down_reason reason)
 {
     if (role_ == role::leader)
     {
-        note_term_end(now, why, 0, {});
+        record_step_down(now, reason, 0, {});
         become_follower(now, hard_.term, member_id());
     }
 }
 
 // ---- notes for log lines -----------------------------------------------------------------------
 
-std::string_view to_string(term_end value) noexcept
+std::string_view to_string(step_down_reason value) noexcept
 {
     switch (value)
     {
-    case term_end::lease_not_renewed:
+    case step_down_reason::lease_not_renewed:
         return "lease_not_renewed";
-    case term_end::higher_term:
+    case step_down_reason::higher_term:
         return "higher_term";
-    case term_end::resigned:
+    case step_down_reason::resigned:
         return "resigned";
-    case term_end::disk_failed:
+    case step_down_reason::disk_failed:
         return "disk_failed";
     }
     return "";
 }
 
-duration node::since_quorum(time_point now) const
+duration node::since_quorum_ack(time_point now) const
 {
     const std::vector<time_point> times = voter_acknowledgements(now);
     // Before a quorum's first acknowledgement the term's beginning stands for it: votes are one.
@@ -364,34 +365,35 @@
     return std::chrono::duration_cast<duration>(now - newest);
 }
 
-void node::note_term_end(time_point now, term_end why, term_number seen, const member_id& from)
+void node::record_step_down(time_point now, step_down_reason reason, term_number seen, const member_id& from)
 {
     if (role_ != role::leader)
     {
         return;
     }
-    last_ended_ = {hard_.term,
-                   why,
-                   now,
-                   std::chrono::duration_cast<duration>(now - leader_since_),
-                   since_quorum(now),
-                   longest_gap_,
-                   seen,
-                   from};
+    last_leadership_ = {hard_.term,
+                        reason,
+                        now,
+                        std::chrono::duration_cast<duration>(now - leader_since_),
+                        since_quorum_ack(now),
+                        longest_event_gap_,
+                        seen,
+                        from};
 }
 
-void node::note_candidacy(time_point now)
+void node::record_candidacy(time_point now)
 {
     ++last_candidacy_.number;
     last_candidacy_.last_leader = leader_;
-    last_candidacy_.since_heard = std::chrono::duration_cast<duration>(now - last_heard_at_);
-    last_candidacy_.longest_gap = longest_gap_;
+    last_candidacy_.since_leader_contact =
+        std::chrono::duration_cast<duration>(now - actual_leader_contact_at_);
+    last_candidacy_.longest_event_gap = longest_event_gap_;
 }
 
-void node::note_leader_heard(time_point now)
+void node::record_leader_contact(time_point now)
 {
-    last_heard_at_ = now;
-    longest_gap_ = {};
+    actual_leader_contact_at_ = now;
+    longest_event_gap_ = {};
 }
 
 } // namespace plumspoke::replica
--- a/src/replica/node_election.cpp
+++ b/src/replica/node_election.cpp
@@ -37,13 +37,13 @@
     return members_.is_voter(id_);
 }
 
-bool node::heard_leader_recently(time_point now) const noexcept
+bool node::has_recent_leader_contact(time_point now) const noexcept
 {
     if (role_ == role::leader)
     {
         return now < lease_end();
     }
-    return now < heard_leader_at_ + options_.election_timeout;
+    return now < leader_contact_at_ + options_.election_timeout;
 }
 
 bool node::log_is_up_to_date(log_index last, term_number last_term) const noexcept
@@ -56,7 +56,7 @@
     return last >= last_index();
 }
 
-bool node::wins(const std::set<member_id>& votes) const noexcept
+bool node::has_vote_quorum(const std::set<member_id>& votes) const noexcept
 {
     const auto granted = std::count_if(members_.members.begin(),
                                        members_.members.end(),
@@ -78,8 +78,8 @@
     if (role_ == role::leader)
     {
         // A former leader counts as having just heard one: its last followers may still hold its lease.
-        heard_leader_at_ = now;
-        note_leader_heard(now);
+        leader_contact_at_ = now;
+        record_leader_contact(now);
     }
     role_ = role::follower;
     pre_voting_ = false;
@@ -91,12 +91,12 @@
 
 void node::start_pre_vote(time_point now)
 {
-    note_candidacy(now);
+    record_candidacy(now);
     role_ = role::candidate;
     pre_voting_ = true;
     leader_.clear();
     votes_ = {id_};
-    if (wins(votes_))
+    if (has_vote_quorum(votes_))
     {
         start_election(now);
         return;
@@ -120,7 +120,7 @@
     hard_changed_ = true;
     votes_ = {id_};
     reset_election_timer(now);
-    if (wins(votes_))
+    if (has_vote_quorum(votes_))
     {
         become_leader(now);
         return;
@@ -140,7 +140,7 @@
     pre_voting_ = false;
     leader_ = id_;
     leader_since_ = now;
-    note_leader_heard(now);
+    record_leader_contact(now);
     peers_.clear();
     term_start_index_ = last_index() + 1;
     append_local(log_entry{});
@@ -165,7 +165,7 @@
     const bool heard = !times.empty() && times[times.size() / 2] + options_.election_timeout > now;
     if (!heard)
     {
-        note_term_end(now, term_end::lease_not_renewed, 0, {});
+        record_step_down(now, step_down_reason::lease_not_renewed, 0, {});
         become_follower(now, hard_.term, member_id());
     }
 }
@@ -184,7 +184,7 @@
         return;
     }
     votes_.insert(received.from);
-    if (wins(votes_))
+    if (has_vote_quorum(votes_))
     {
         start_election(now);
     }
@@ -214,7 +214,7 @@
         return;
     }
     votes_.insert(received.from);
-    if (wins(votes_))
+    if (has_vote_quorum(votes_))
     {
         become_leader(now);
     }
--- a/src/replica/node_replication.cpp
+++ b/src/replica/node_replication.cpp
@@ -24,8 +24,8 @@
     role_ = role::follower;
     pre_voting_ = false;
     leader_ = received.from;
-    heard_leader_at_ = now;
-    note_leader_heard(now);
+    leader_contact_at_ = now;
+    record_leader_contact(now);
     reset_election_timer(now);
 
     if (body.previous_index < base_index_)
@@ -60,9 +60,9 @@
         }
         members_changed = members_changed || entry.kind == entry_kind::membership;
         PLUMSPOKE_ASSERT(entry.index == last_index() + 1);
-        if (unsent_from_ == 0)
+        if (unpersisted_from_ == 0)
         {
-            unsent_from_ = entry.index;
+            unpersisted_from_ = entry.index;
         }
         log_.push_back(entry);
     }
@@ -75,12 +75,13 @@
     send(received.from, append_reply{true, matched, body.sent_at_us});
 }
 
-void node::note_acknowledged(time_point now, progress& peer, std::int64_t sent_at_us)
+void node::record_acknowledgement(time_point now, progress& peer, std::int64_t sent_at_us)
 {
-    peer.acknowledged_at = std::max(peer.acknowledged_at, std::min(now, from_microseconds(sent_at_us)));
-    peer.answered_at = now;
-    peer.answered = true;
-    peer.awaiting = false;
+    peer.acknowledged_sent_at =
+        std::max(peer.acknowledged_sent_at, std::min(now, from_microseconds(sent_at_us)));
+    peer.last_reply_at = now;
+    peer.has_replied = true;
+    peer.append_in_flight = false;
 }
 
 void node::on(time_point now, const message& received, const append_reply& body)
@@ -91,7 +92,7 @@
         return;
     }
     progress& peer = found->second;
-    note_acknowledged(now, peer, body.sent_at_us);
+    record_acknowledgement(now, peer, body.sent_at_us);
     if (!body.success)
     {
         peer.probing = true;
@@ -122,8 +123,8 @@
     role_ = role::follower;
     pre_voting_ = false;
     leader_ = received.from;
-    heard_leader_at_ = now;
-    note_leader_heard(now);
+    leader_contact_at_ = now;
+    record_leader_contact(now);
     reset_election_timer(now);
     if (body.state.index > commit_index_)
     {
@@ -134,7 +135,7 @@
         latest_snapshot_ = body.state;
         commit_index_ = base_index_;
         delivered_index_ = base_index_;
-        unsent_from_ = 0;
+        unpersisted_from_ = 0;
         pending_truncate_ = 0;
         pending_install_ = body.state;
         hard_changed_ = true; // the new log file starts with term and vote
@@ -147,9 +148,9 @@
 {
     entry.index = last_index() + 1;
     entry.term = hard_.term;
-    if (unsent_from_ == 0)
+    if (unpersisted_from_ == 0)
     {
-        unsent_from_ = entry.index;
+        unpersisted_from_ = entry.index;
     }
     log_.push_back(std::move(entry));
 }
@@ -159,9 +160,9 @@
     PLUMSPOKE_ASSERT(index > commit_index_); // what is committed is never removed
     log_.resize(index - base_index_ - 1);
     pending_truncate_ = pending_truncate_ == 0 ? index : std::min(pending_truncate_, index);
-    if (unsent_from_ >= index)
+    if (unpersisted_from_ >= index)
     {
-        unsent_from_ = 0;
+        unpersisted_from_ = 0;
     }
 }
 
@@ -235,8 +236,8 @@
 
 void node::send_append(time_point now, const member_id& to, progress& peer)
 {
-    const bool overdue = now >= peer.awaiting_since + options_.heartbeat_interval;
-    if (peer.probing && peer.awaiting && !overdue)
+    const bool overdue = now >= peer.append_sent_at + options_.heartbeat_interval;
+    if (peer.probing && peer.append_in_flight && !overdue)
     {
         return;
     }
@@ -244,7 +245,7 @@
     const std::optional<term_number> previous_term = term_at(peer.next - 1);
     if (!previous_term.has_value())
     {
-        if (overdue || !peer.snapshot_under_way(now, base_index_, options_.snapshot_resend))
+        if (overdue || !peer.is_snapshot_in_flight(now, base_index_, options_.snapshot_resend_interval))
         {
             send_snapshot(now, to, peer);
         }
@@ -267,8 +268,8 @@
     }
     if (peer.probing)
     {
-        peer.awaiting = true;
-        peer.awaiting_since = now;
+        peer.append_in_flight = true;
+        peer.append_sent_at = now;
     }
     else
     {
@@ -280,11 +281,11 @@
 void node::send_snapshot(time_point now, const member_id& to, progress& peer)
 {
     peer.probing = true;
-    peer.awaiting = true;
-    peer.awaiting_since = now;
+    peer.append_in_flight = true;
+    peer.append_sent_at = now;
     const std::int64_t sent_at_us = to_microseconds(now);
-    const bool under_way = peer.snapshot_under_way(now, base_index_, options_.snapshot_resend);
-    if (!peer.answers(now, options_) || snapshot_awaited_ || under_way)
+    const bool in_flight = peer.is_snapshot_in_flight(now, base_index_, options_.snapshot_resend_interval);
+    if (!peer.is_responsive(now, options_) || snapshot_pending_ || in_flight)
     {
         // A heartbeat in its place, for its acknowledgement: the lease may hang on this member. It is refused
         // until the snapshot has arrived. A member that doesn't answer, such as a lost disk, would only take
@@ -292,9 +293,11 @@
         send(to, append{base_index_, base_term_, commit_index_, sent_at_us, {}});
         return;
     }
-    peer.oldest_snapshot = peer.oldest_snapshot > peer.match ? peer.oldest_snapshot : latest_snapshot_.index;
+    peer.first_unacknowledged_snapshot = peer.first_unacknowledged_snapshot > peer.match
+                                             ? peer.first_unacknowledged_snapshot
+                                             : latest_snapshot_.index;
     peer.snapshot_sent = latest_snapshot_.index;
-    peer.snapshot_sent_at = now;
+    peer.snapshot_sent_time = now;
     send(to, install_snapshot{latest_snapshot_, sent_at_us});
 }
 
--- a/src/replica/snapshot_queue.cpp
+++ b/src/replica/snapshot_queue.cpp
@@ -5,7 +5,7 @@
 namespace plumspoke::replica
 {
 
-snapshot_queue::identity snapshot_queue::identity_of(const message& sent)
+snapshot_queue::snapshot_key snapshot_queue::key_of(const message& sent)
 {
     return {sent.to, std::get<install_snapshot>(sent.body).state.index};
 }
@@ -13,24 +13,24 @@
 bool snapshot_queue::push(message sent)
 {
     const bool replaces = in_flight_.has_value() && in_flight_->to != sent.to;
-    waiting_ = std::move(sent);
+    pending_ = std::move(sent);
     return replaces;
 }
 
-std::optional<message> snapshot_queue::take()
+std::optional<message> snapshot_queue::pop()
 {
-    if (waiting_.has_value())
+    if (pending_.has_value())
     {
-        in_flight_ = identity_of(*waiting_);
+        in_flight_ = key_of(*pending_);
     }
-    return std::exchange(waiting_, std::nullopt);
+    return std::exchange(pending_, std::nullopt);
 }
 
 void snapshot_queue::finish(bool delivered)
 {
-    if (delivered && waiting_.has_value() && in_flight_ == identity_of(*waiting_))
+    if (delivered && pending_.has_value() && in_flight_ == key_of(*pending_))
     {
-        waiting_.reset();
+        pending_.reset();
     }
     in_flight_.reset();
 }
--- a/src/replica/snapshot_schedule.cpp
+++ b/src/replica/snapshot_schedule.cpp
@@ -10,45 +10,45 @@
 // left to send after it: a lost disk is replaced only once its successor has both.
 constexpr std::size_t fresh_snapshot_interval = 50;
 constexpr auto fresh_snapshot_timeout = milliseconds(500);
-constexpr auto snapshot_retry = milliseconds(1000); // a snapshot that found no room is no hurry
+constexpr auto retry_interval = milliseconds(1000); // a snapshot that found no room is no hurry
 
 } // namespace
 
 void snapshot_schedule::on_member_joined(time_point now) noexcept
 {
-    fresh_wanted_ = true;
-    awaited_until_ = now + fresh_snapshot_timeout;
+    fresh_requested_ = true;
+    fresh_deadline_ = now + fresh_snapshot_timeout;
 }
 
-void snapshot_schedule::drop_wish_if_fresh(log_index applied) noexcept
+void snapshot_schedule::clear_request_if_fresh(log_index applied) noexcept
 {
-    fresh_wanted_ = fresh_wanted_ && applied >= saved_ + fresh_snapshot_interval;
+    fresh_requested_ = fresh_requested_ && applied >= saved_index_ + fresh_snapshot_interval;
 }
 
-bool snapshot_schedule::is_awaited(time_point now, log_index applied) noexcept
+bool snapshot_schedule::is_fresh_snapshot_pending(time_point now, log_index applied) noexcept
 {
-    drop_wish_if_fresh(applied);
-    return fresh_wanted_ && now < awaited_until_;
+    clear_request_if_fresh(applied);
+    return fresh_requested_ && now < fresh_deadline_;
 }
 
 bool snapshot_schedule::is_due(time_point now, log_index applied, bool installing, bool idle) noexcept
 {
-    drop_wish_if_fresh(applied);
-    const bool due = fresh_wanted_ || applied >= saved_ + interval_;
+    clear_request_if_fresh(applied);
+    const bool due = fresh_requested_ || applied >= saved_index_ + interval_;
     // Under load something always waits to be applied; who needs a snapshot doesn't wait for that.
-    const bool ready = fresh_wanted_ ? !installing : idle;
-    return due && ready && now >= next_at_;
+    const bool ready = fresh_requested_ ? !installing : idle;
+    return due && ready && now >= next_attempt_at_;
 }
 
 void snapshot_schedule::on_saved(log_index index) noexcept
 {
-    saved_ = index;
-    fresh_wanted_ = false;
+    saved_index_ = index;
+    fresh_requested_ = false;
 }
 
-void snapshot_schedule::put_off(time_point now) noexcept
+void snapshot_schedule::defer(time_point now) noexcept
 {
-    next_at_ = now + snapshot_retry;
+    next_attempt_at_ = now + retry_interval;
 }
 
 } // namespace plumspoke::replica
--- a/src/replica/storage.cpp
+++ b/src/replica/storage.cpp
@@ -73,7 +73,7 @@
     return content.str();
 }
 
-void remove_all_but(const std::vector<numbered_file>& files, std::uint64_t kept)
+void remove_files_before(const std::vector<numbered_file>& files, std::uint64_t kept)
 {
     for (const numbered_file& file : files)
     {
@@ -85,7 +85,7 @@
     }
 }
 
-wire::Persist make_persist(const hard_state& hard, std::span<const log_entry> entries)
+wire::Persist make_persist_record(const hard_state& hard, std::span<const log_entry> entries)
 {
     wire::Persist out;
     out.mutable_hard_state()->set_term(hard.term);
@@ -122,7 +122,7 @@
     }
 }
 
-bool contiguous(const restored_state& restored)
+bool is_contiguous(const restored_state& restored)
 {
     log_index expected = restored.base.index + 1;
     for (const log_entry& entry : restored.entries)
@@ -174,7 +174,7 @@
     return folder_ / (std::string(log_prefix) + std::to_string(sequence));
 }
 
-std::error_code storage::take_lock()
+std::error_code storage::acquire_lock()
 {
     if (lock_.valid())
     {
@@ -201,7 +201,7 @@
 
 std::error_code storage::initialize(const member_id& id, const membership& members)
 {
-    if (const std::error_code failed = take_lock(); failed)
+    if (const std::error_code failed = acquire_lock(); failed)
     {
         return failed;
     }
@@ -216,10 +216,10 @@
     {
         return failed;
     }
-    return adopt_identity(id);
+    return write_identity(id);
 }
 
-std::error_code storage::adopt_identity(const member_id& id)
+std::error_code storage::write_identity(const member_id& id)
 {
     wire::Identity identity;
     identity.set_id(id);
@@ -229,7 +229,7 @@
 
 std::error_code storage::open(restored_state& restored)
 {
-    if (const std::error_code failed = take_lock(); failed)
+    if (const std::error_code failed = acquire_lock(); failed)
     {
         return failed;
     }
@@ -308,7 +308,7 @@
             }
             replay(frame, restored);
         }
-        if (!contiguous(restored))
+        if (!is_contiguous(restored))
         {
             return errc::log_damaged;
         }
@@ -451,7 +451,7 @@
         return failed;
     }
     const std::uint64_t next_sequence = log_sequence_ + 1;
-    const std::string payload = make_persist(hard, rest).SerializeAsString();
+    const std::string payload = make_persist_record(hard, rest).SerializeAsString();
     if (const std::error_code failed = write_new_file(log_path(next_sequence), payload); failed)
     {
         return failed;
@@ -463,8 +463,8 @@
     }
     log_sequence_ = next_sequence;
     log_bytes_ = static_cast<std::uint64_t>(std::max<off_t>(::lseek(log_.get(), 0, SEEK_END), 0));
-    remove_all_but(list_numbered(folder_, log_prefix), next_sequence);
-    remove_all_but(list_numbered(folder_, snapshot_prefix), state.index);
+    remove_files_before(list_numbered(folder_, log_prefix), next_sequence);
+    remove_files_before(list_numbered(folder_, snapshot_prefix), state.index);
     return {};
 }
 
--- a/tests/src/full_disk_fixture.hpp
+++ b/tests/src/full_disk_fixture.hpp
@@ -18,7 +18,7 @@
 inline std::atomic<bool> disk_is_full{false};
 
 // Takes half of a record first, as a disk does that fills up.
-inline ssize_t write_while_room(int file, const void* bytes, std::size_t count)
+inline ssize_t write_until_full(int file, const void* bytes, std::size_t count)
 {
     if (!disk_is_full)
     {
@@ -50,7 +50,7 @@
     std::atomic<int> applied{0};
 };
 
-class no_network final : public transport
+class null_transport final : public transport
 {
   public:
     void send(const std::string& /*address*/, const message& /*sent*/) override
@@ -93,7 +93,7 @@
 struct fixture
 {
     fixture()
-        : disk(place.path, {&write_while_room, system_disk().sync}),
+        : disk(data_folder.path, {&write_until_full, system_disk().sync}),
           replica(options(), disk, machine, network)
     {
         disk_is_full = false;
@@ -101,9 +101,9 @@
         REQUIRE_FALSE(replica.start("a"));
     }
 
-    [[nodiscard]] bool acts() const
+    [[nodiscard]] bool holds_lease() const
     {
-        return replica.may_act(std::chrono::steady_clock::now());
+        return replica.holds_lease(std::chrono::steady_clock::now());
     }
 
     static driver_options options()
@@ -113,10 +113,10 @@
         return out;
     }
 
-    folder place;
+    folder data_folder;
     storage disk;
     counting_machine machine;
-    no_network network;
+    null_transport network;
     driver replica;
 };
 
--- a/tests/src/unit-lost_disks.cpp
+++ b/tests/src/unit-lost_disks.cpp
@@ -1,15 +1,15 @@
 /// @file
 /// @brief A control VM whose disk was lost votes again within a second of its request, and nothing is lost.
 
-#include "replica_world.hpp"
+#include "replica_simulation.hpp"
 
 #include <algorithm>
 #include <catch2/catch.hpp>
 
 using namespace plumspoke;
-using test::replica_load;
-using test::replica_outcome;
-using test::replica_world;
+using test::replica_simulation;
+using test::simulation_load;
+using test::simulation_result;
 
 namespace
 {
@@ -17,27 +17,28 @@
 constexpr std::uint64_t seeds = 50;
 constexpr auto vote_limit = seconds(1);
 
-duration part_of(std::uint64_t seed, duration whole)
+duration random_part(std::uint64_t seed, duration whole)
 {
     std::mt19937_64 random(seed);
     return duration(static_cast<std::int64_t>(random() % static_cast<std::uint64_t>(whole.count())));
 }
 
-void check(const replica_outcome& seen, std::uint64_t seed)
+void check(const simulation_result& result, std::uint64_t seed)
 {
-    INFO("seed " << seed << ", " << seen.snapshots_sent << " snapshots, " << seen.committed << " committed");
-    for (const std::string& one : seen.broken)
+    INFO("seed " << seed << ", " << result.snapshots_sent << " snapshots, " << result.committed
+                 << " committed");
+    for (const std::string& one : result.violations)
     {
         UNSCOPED_INFO(one);
     }
-    CHECK(seen.broken.empty());
-    CHECK(seen.votes_regained == seen.disks_lost);
+    CHECK(result.violations.empty());
+    CHECK(result.votes_regained == result.disks_lost);
 }
 
-void check_vote_delays(const replica_outcome& seen, std::uint64_t seed)
+void check_vote_delays(const simulation_result& result, std::uint64_t seed)
 {
-    INFO("seed " << seed << ", " << seen.snapshots_sent << " snapshots");
-    for (const duration one : seen.vote_delays)
+    INFO("seed " << seed << ", " << result.snapshots_sent << " snapshots");
+    for (const duration one : result.vote_delays)
     {
         CHECK(one <= vote_limit);
     }
@@ -49,13 +50,13 @@
 {
     for (std::uint64_t seed = 1; seed <= seeds; ++seed)
     {
-        replica_world world(seed, {});
-        world.lose_disk(seconds(4) + part_of(seed, seconds(3)),
-                        seed % 5,
-                        milliseconds(300) + part_of(seed + 1000, seconds(2)));
-        const replica_outcome seen = world.run(seconds(14));
-        check(seen, seed);
-        check_vote_delays(seen, seed);
+        replica_simulation simulation(seed, {});
+        simulation.lose_disk(seconds(4) + random_part(seed, seconds(3)),
+                             seed % 5,
+                             milliseconds(300) + random_part(seed + 1000, seconds(2)));
+        const simulation_result result = simulation.run(seconds(14));
+        check(result, seed);
+        check_vote_delays(result, seed);
     }
 }
 
@@ -63,14 +64,14 @@
 {
     for (std::uint64_t seed = 101; seed <= 100 + seeds; ++seed)
     {
-        replica_world world(seed, {});
-        const duration at = seconds(4) + part_of(seed, seconds(3));
-        const duration down = milliseconds(300) + part_of(seed + 1000, seconds(2));
-        world.lose_disk(at, seed % 5, down);
-        world.lose_disk(at + part_of(seed + 2000, milliseconds(500)), (seed + 2) % 5, down);
-        const replica_outcome seen = world.run(seconds(16));
-        check(seen, seed);
-        check_vote_delays(seen, seed);
+        replica_simulation simulation(seed, {});
+        const duration at = seconds(4) + random_part(seed, seconds(3));
+        const duration down = milliseconds(300) + random_part(seed + 1000, seconds(2));
+        simulation.lose_disk(at, seed % 5, down);
+        simulation.lose_disk(at + random_part(seed + 2000, milliseconds(500)), (seed + 2) % 5, down);
+        const simulation_result result = simulation.run(seconds(16));
+        check(result, seed);
+        check_vote_delays(result, seed);
     }
 }
 
@@ -78,12 +79,12 @@
 {
     for (std::uint64_t seed = 201; seed <= 200 + seeds; ++seed)
     {
-        replica_world world(seed, {});
-        const duration at = seconds(4) + part_of(seed, seconds(3));
-        const duration down = milliseconds(300) + part_of(seed + 1000, seconds(1));
-        world.lose_disk(at, seed % 5, down);
-        world.kill_leader(at + down + part_of(seed + 2000, milliseconds(1200)), milliseconds(700));
-        check(world.run(seconds(18)), seed);
+        replica_simulation simulation(seed, {});
+        const duration at = seconds(4) + random_part(seed, seconds(3));
+        const duration down = milliseconds(300) + random_part(seed + 1000, seconds(1));
+        simulation.lose_disk(at, seed % 5, down);
+        simulation.kill_leader(at + down + random_part(seed + 2000, milliseconds(1200)), milliseconds(700));
+        check(simulation.run(seconds(18)), seed);
     }
 }
 
@@ -91,23 +92,23 @@
 {
     for (std::uint64_t seed = 301; seed <= 300 + seeds; ++seed)
     {
-        replica_world world(seed, {});
-        const duration at = seconds(4) + part_of(seed, seconds(3));
-        world.lose_disk(at, seed % 5, milliseconds(300));
+        replica_simulation simulation(seed, {});
+        const duration at = seconds(4) + random_part(seed, seconds(3));
+        simulation.lose_disk(at, seed % 5, milliseconds(300));
         const duration later = at + milliseconds(300) + milliseconds(900) + vote_limit;
         for (std::size_t i = 0; i < 5; ++i)
         {
             const std::size_t vm = (seed + i) % 5;
             if (i == 1 || i == 3)
             {
-                world.lose_disk(later, vm, seconds(1) + part_of(seed + i, seconds(1)));
+                simulation.lose_disk(later, vm, seconds(1) + random_part(seed + i, seconds(1)));
             }
             else if (i != 0)
             {
-                world.lose_power(later, vm, seconds(1) + part_of(seed + i, seconds(1)));
+                simulation.lose_power(later, vm, seconds(1) + random_part(seed + i, seconds(1)));
             }
         }
-        check(world.run(seconds(20)), seed);
+        check(simulation.run(seconds(20)), seed);
     }
 }
 
@@ -115,15 +116,15 @@
 {
     for (std::uint64_t seed = 401; seed <= 400 + seeds; ++seed)
     {
-        replica_load load;
+        simulation_load load;
         load.transfer_time = milliseconds(1500);
-        replica_world world(seed, load);
-        const duration at = seconds(4) + part_of(seed, seconds(3));
-        world.lose_disk(at, seed % 5, milliseconds(300));
-        world.slow_down(at, (seed + 1) % 5, milliseconds(60), seconds(3));
-        const replica_outcome seen = world.run(seconds(18));
-        check(seen, seed);
+        replica_simulation simulation(seed, load);
+        const duration at = seconds(4) + random_part(seed, seconds(3));
+        simulation.lose_disk(at, seed % 5, milliseconds(300));
+        simulation.add_delay(at, (seed + 1) % 5, milliseconds(60), seconds(3));
+        const simulation_result result = simulation.run(seconds(18));
+        check(result, seed);
         INFO("seed " << seed);
-        CHECK(seen.snapshots_sent <= 2);
+        CHECK(result.snapshots_sent <= 2);
     }
 }
--- a/tests/src/unit-replica_busy_state.cpp
+++ b/tests/src/unit-replica_busy_state.cpp
@@ -32,8 +32,8 @@
 namespace
 {
 
-constexpr auto held_for = milliseconds(1200); // twice the election timeout
-constexpr auto answer_limit = seconds(5);
+constexpr auto state_lock_duration = milliseconds(1200); // twice the election timeout
+constexpr auto answer_timeout = seconds(5);
 
 /// @brief Three replicas' connections within this process; each replica may be cut off.
 class local_network
@@ -44,7 +44,7 @@
         const std::lock_guard lock(mutex_);
         targets_[address] = &target;
     }
-    void cut(const std::string& address, bool off)
+    void set_cut(const std::string& address, bool off)
     {
         const std::lock_guard lock(mutex_);
         off ? (void)cut_.insert(address) : (void)cut_.erase(address);
@@ -81,7 +81,7 @@
     std::string own_;
 };
 
-struct one_replica
+struct test_replica
 {
     std::string name;
     jobs::machine machine;
@@ -105,10 +105,10 @@
 }
 
 /// @brief Three replicas of the jobs' state, one of which leads.
-class group
+class test_cluster
 {
   public:
-    explicit group(driver_options options = {})
+    explicit test_cluster(driver_options options = {})
     {
         std::string pattern = (std::filesystem::temp_directory_path() / "plumspoke-busy-XXXXXX").string();
         REQUIRE(::mkdtemp(pattern.data()) != nullptr);
@@ -116,7 +116,7 @@
         const membership members{{{"a", "a", "a", true}, {"b", "b", "b", true}, {"c", "c", "c", true}}};
         for (std::size_t i = 0; i < replicas.size(); ++i)
         {
-            one_replica& one = replicas[i];
+            test_replica& one = replicas[i];
             one.name = members.members[i].id;
             one.disk = std::make_unique<storage>(folder_ / one.name);
             REQUIRE_FALSE(one.disk->initialize(one.name, members));
@@ -131,22 +131,22 @@
                                  return find_leader() != nullptr;
                              }));
     }
-    group(const group&) = delete;
-    group& operator=(const group&) = delete;
-    ~group()
+    test_cluster(const test_cluster&) = delete;
+    test_cluster& operator=(const test_cluster&) = delete;
+    ~test_cluster()
     {
-        for (one_replica& one : replicas)
+        for (test_replica& one : replicas)
         {
             one.runner->stop();
         }
         std::filesystem::remove_all(folder_);
     }
 
-    [[nodiscard]] one_replica* find_leader()
+    [[nodiscard]] test_replica* find_leader()
     {
-        for (one_replica& one : replicas)
+        for (test_replica& one : replicas)
         {
-            if (one.runner->may_act(std::chrono::steady_clock::now()))
+            if (one.runner->holds_lease(std::chrono::steady_clock::now()))
             {
                 return &one;
             }
@@ -154,19 +154,19 @@
         return nullptr;
     }
 
-    [[nodiscard]] one_replica& follower()
+    [[nodiscard]] test_replica& follower()
     {
         return find_leader() == replicas.data() ? replicas[1] : replicas[0];
     }
 
     local_network network;
-    std::array<one_replica, 3> replicas;
+    std::array<test_replica, 3> replicas;
 
   private:
     std::filesystem::path folder_;
 };
 
-std::string a_record()
+std::string make_record()
 {
     jobs::round record;
     record.begun = {"x"};
@@ -177,7 +177,7 @@
 std::future<proposal_result> propose(driver& to)
 {
     auto promise = std::make_shared<std::promise<proposal_result>>();
-    to.propose(a_record(),
+    to.propose(make_record(),
                [promise](proposal_result result)
                {
                    promise->set_value(std::move(result));
@@ -185,45 +185,45 @@
     return promise->get_future();
 }
 
-bool is_answered(const std::future<proposal_result>& made)
+bool is_answered(const std::future<proposal_result>& proposal)
 {
-    return made.wait_for(seconds(0)) == std::future_status::ready;
+    return proposal.wait_for(seconds(0)) == std::future_status::ready;
 }
 
 } // namespace
 
 TEST_CASE("a leader whose state is held for longer than its lease keeps its term while a record commits")
 {
-    group three;
-    one_replica& leader = *three.find_leader();
+    test_cluster cluster;
+    test_replica& leader = *cluster.find_leader();
     const term_number term = leader.runner->status().term;
-    std::future<proposal_result> made;
+    std::future<proposal_result> proposal;
     leader.machine.read(
         [&](const jobs::store&)
         {
-            made = propose(*leader.runner);
-            std::this_thread::sleep_for(held_for);
-            CHECK(leader.runner->may_act(std::chrono::steady_clock::now()));
+            proposal = propose(*leader.runner);
+            std::this_thread::sleep_for(state_lock_duration);
+            CHECK(leader.runner->holds_lease(std::chrono::steady_clock::now()));
             CHECK(leader.runner->status().commit_index > leader.runner->status().applied_index);
-            CHECK_FALSE(is_answered(made)); // committed, but not applied
+            CHECK_FALSE(is_answered(proposal)); // committed, but not applied
         });
-    REQUIRE(made.wait_for(answer_limit) == std::future_status::ready);
-    const proposal_result result = made.get();
+    REQUIRE(proposal.wait_for(answer_timeout) == std::future_status::ready);
+    const proposal_result result = proposal.get();
     CHECK_FALSE(result.error);
     CHECK(jobs::decode_answer(result.answer).result == jobs::outcome::accepted);
     std::this_thread::sleep_for(
         milliseconds(300)); // two heartbeats: a loss of the term would be known by now
-    CHECK(leader.runner->may_act(std::chrono::steady_clock::now()));
+    CHECK(leader.runner->holds_lease(std::chrono::steady_clock::now()));
     CHECK(leader.runner->status().term == term);
-    CHECK(leader.runner->status().last_ended.term == 0);
+    CHECK(leader.runner->status().last_leadership.term == 0);
 }
 
 TEST_CASE("a leadership lost between commit and apply: each record's answer is true")
 {
-    group three;
-    one_replica& leader = *three.find_leader();
+    test_cluster cluster;
+    test_replica& leader = *cluster.find_leader();
     std::future<proposal_result> committed;
-    std::future<proposal_result> cut_off;
+    std::future<proposal_result> after_cut;
     leader.machine.read(
         [&](const jobs::store&)
         {
@@ -234,8 +234,8 @@
                                {
                                    return leader.runner->status().commit_index > before;
                                }));
-            three.network.cut(leader.name, true);
-            cut_off = propose(*leader.runner);
+            cluster.network.set_cut(leader.name, true);
+            after_cut = propose(*leader.runner);
             CHECK(holds_within(seconds(3),
                                [&]
                                {
@@ -243,30 +243,30 @@
                                }));
             CHECK_FALSE(is_answered(committed));
         });
-    REQUIRE(committed.wait_for(answer_limit) == std::future_status::ready);
-    REQUIRE(cut_off.wait_for(answer_limit) == std::future_status::ready);
+    REQUIRE(committed.wait_for(answer_timeout) == std::future_status::ready);
+    REQUIRE(after_cut.wait_for(answer_timeout) == std::future_status::ready);
     CHECK_FALSE(committed.get().error);
-    CHECK(cut_off.get().error == make_error_code(errc::lost_leadership));
+    CHECK(after_cut.get().error == make_error_code(errc::lost_leadership));
 }
 
 TEST_CASE("a follower whose state is held takes a snapshot and what follows it in order")
 {
     driver_options options;
     options.snapshot_interval = 10;
-    group three(options);
-    one_replica& leader = *three.find_leader();
-    one_replica& behind = three.follower();
+    test_cluster cluster(options);
+    test_replica& leader = *cluster.find_leader();
+    test_replica& lagging = cluster.follower();
     const auto record = [&leader]
     {
-        REQUIRE_FALSE(leader.runner->propose_and_wait(a_record(), answer_limit).error);
+        REQUIRE_FALSE(leader.runner->propose_and_wait(make_record(), answer_timeout).error);
     };
     const auto decide = [&leader](const jobs::command& what)
     {
-        const proposal_result result = leader.runner->propose_and_wait(jobs::encode(what), answer_limit);
+        const proposal_result result = leader.runner->propose_and_wait(jobs::encode(what), answer_timeout);
         REQUIRE_FALSE(result.error);
         REQUIRE(jobs::decode_answer(result.answer).result == jobs::outcome::accepted);
     };
-    behind.machine.read(
+    lagging.machine.read(
         [&](const jobs::store&)
         {
             // Waits on the follower when the snapshot comes, which holds a state that has forgotten the job:
@@ -276,7 +276,7 @@
             taken_in.spec.steps.resize(1);
             decide(taken_in);
             std::this_thread::sleep_for(milliseconds(300));
-            three.network.cut(behind.name, true);
+            cluster.network.set_cut(lagging.name, true);
             for (int i = 0; i < 25; ++i)
             {
                 record();
@@ -294,37 +294,37 @@
             {
                 record();
             }
-            three.network.cut(behind.name, false);
+            cluster.network.set_cut(lagging.name, false);
             record();
             CHECK(holds_within(seconds(3),
                                [&]
                                {
-                                   return behind.runner->status().commit_index + 1 >=
+                                   return lagging.runner->status().commit_index + 1 >=
                                           leader.runner->status().commit_index;
                                }));
-            CHECK(behind.runner->status().applied_index < leader.runner->status().applied_index);
+            CHECK(lagging.runner->status().applied_index < leader.runner->status().applied_index);
         });
     record();
     CHECK(holds_within(seconds(3),
                        [&]
                        {
-                           return behind.runner->status().applied_index ==
+                           return lagging.runner->status().applied_index ==
                                   leader.runner->status().commit_index;
                        }));
-    CHECK(behind.machine.save() == leader.machine.save());
+    CHECK(lagging.machine.save() == leader.machine.save());
 }
 
 TEST_CASE("a replica whose state is held stops, and says of what it hasn't applied that it stopped")
 {
-    group three;
-    one_replica& leader = *three.find_leader();
-    std::future<proposal_result> made;
+    test_cluster cluster;
+    test_replica& leader = *cluster.find_leader();
+    std::future<proposal_result> proposal;
     std::future<void> stopped;
     leader.machine.read(
         [&](const jobs::store&)
         {
             const log_index before = leader.runner->status().commit_index;
-            made = propose(*leader.runner);
+            proposal = propose(*leader.runner);
             CHECK(holds_within(seconds(1),
                                [&]
                                {
@@ -338,6 +338,6 @@
             CHECK(stopped.wait_for(seconds(1)) == std::future_status::ready);
         });
     stopped.get();
-    REQUIRE(made.wait_for(seconds(0)) == std::future_status::ready);
-    CHECK(made.get().error == make_error_code(errc::stopping));
+    REQUIRE(proposal.wait_for(seconds(0)) == std::future_status::ready);
+    CHECK(proposal.get().error == make_error_code(errc::stopping));
 }
--- a/tests/src/unit-replica_full_disk.cpp
+++ b/tests/src/unit-replica_full_disk.cpp
@@ -14,30 +14,30 @@
 
 TEST_CASE("a replica bears a full disk: it acknowledges nothing, and goes on when there is room")
 {
-    const folder place;
+    const folder data_folder;
     std::uint64_t last_index = 0;
     {
-        storage disk(place.path, {&write_while_room, system_disk().sync});
+        storage disk(data_folder.path, {&write_until_full, system_disk().sync});
         disk_is_full = false;
         REQUIRE_FALSE(disk.initialize("a", {{{"a", "a", "a", true}}}));
         counting_machine machine;
-        no_network network;
+        null_transport network;
         driver replica(fixture::options(), disk, machine, network);
         REQUIRE_FALSE(replica.start("a"));
-        const auto acts = [&replica]
+        const auto holds_lease = [&replica]
         {
-            return replica.may_act(std::chrono::steady_clock::now());
+            return replica.holds_lease(std::chrono::steady_clock::now());
         };
-        REQUIRE(holds_within(seconds(5), acts));
+        REQUIRE(holds_within(seconds(5), holds_lease));
         CHECK_FALSE(replica.propose_and_wait("before", seconds(2)).error);
 
         disk_is_full = true;
         CHECK(replica.propose_and_wait("meanwhile", milliseconds(400)).error);
-        CHECK_FALSE(acts());
+        CHECK_FALSE(holds_lease());
         CHECK_FALSE(replica.status().failure);
 
         disk_is_full = false;
-        REQUIRE(holds_within(seconds(5), acts));
+        REQUIRE(holds_within(seconds(5), holds_lease));
         for (int i = 0; i < 30; ++i) // some snapshots long
         {
             CHECK_FALSE(replica.propose_and_wait("after", seconds(2)).error);
@@ -45,7 +45,7 @@
         replica.stop();
         last_index = replica.status().last_index;
     }
-    storage again(place.path);
+    storage again(data_folder.path);
     restored_state restored;
     REQUIRE_FALSE(again.open(restored));
     CHECK(restored.base.index + restored.entries.size() == last_index);
--- a/tests/src/unit-replica_join.cpp
+++ b/tests/src/unit-replica_join.cpp
@@ -42,11 +42,11 @@
 class replica_process
 {
   public:
-    replica_process(const std::filesystem::path& folder, bool founder)
+    replica_process(const std::filesystem::path& folder, bool first_member)
     {
         address = test::free_address();
         disk = std::make_unique<storage>(folder);
-        if (founder)
+        if (first_member)
         {
             const membership alone{{{address + ".first", address, address, true}}};
             REQUIRE_FALSE(disk->initialize(address + ".first", alone));
@@ -100,27 +100,28 @@
         std::filesystem::temp_directory_path() / ("plumspoke-join-" + std::to_string(::getpid()));
     std::filesystem::remove_all(folder);
     {
-        replica_process founder(folder / "a", true);
+        replica_process first_member(folder / "a", true);
         REQUIRE(holds_within(seconds(10),
                              [&]
                              {
-                                 return founder.runner->may_act(std::chrono::steady_clock::now());
+                                 return first_member.runner->holds_lease(std::chrono::steady_clock::now());
                              }));
-        REQUIRE_FALSE(founder.runner->propose_and_wait("one", seconds(5)).error);
+        REQUIRE_FALSE(first_member.runner->propose_and_wait("one", seconds(5)).error);
 
-        replica_process joiner(folder / "b", false);
-        const member self{joiner.disk->identity(), joiner.address, joiner.address, false};
-        std::string leader = founder.address;
+        replica_process joining_member(folder / "b", false);
+        const member self{
+            joining_member.disk->identity(), joining_member.address, joining_member.address, false};
+        std::string leader = first_member.address;
         REQUIRE(request_join(leader, self));
         CHECK(holds_within(seconds(10),
                            [&]
                            {
-                               return founder.runner->status().members.is_voter(self.id);
+                               return first_member.runner->status().members.is_voter(self.id);
                            }));
         CHECK(holds_within(seconds(5),
                            [&]
                            {
-                               return joiner.machine.count == 1;
+                               return joining_member.machine.count == 1;
                            }));
     }
     std::filesystem::remove_all(folder);
--- a/tests/src/unit-replica_led_once.cpp
+++ b/tests/src/unit-replica_led_once.cpp
@@ -21,17 +21,17 @@
     REQUIRE(holds_within(seconds(5),
                          [&f]
                          {
-                             return f.acts();
+                             return f.holds_lease();
                          }));
     const std::uint64_t before = f.replica.status().term;
     disk_is_full = true;
     CHECK(f.replica.propose_and_wait("meanwhile", milliseconds(400)).error);
-    CHECK_FALSE(f.acts());
+    CHECK_FALSE(f.holds_lease());
     disk_is_full = false;
     REQUIRE(holds_within(seconds(5),
                          [&f]
                          {
-                             return f.acts();
+                             return f.holds_lease();
                          }));
     CHECK(f.replica.status().term > before);
     f.replica.stop();
--- a/tests/src/unit-replica_rejoin.cpp
+++ b/tests/src/unit-replica_rejoin.cpp
@@ -64,11 +64,11 @@
 
 struct replica_process
 {
-    replica_process(const std::filesystem::path& folder, bool founder)
+    replica_process(const std::filesystem::path& folder, bool first_member)
         : address(test::free_address()), disk(folder), network(address), runner({}, disk, machine, network),
           service(make_replica_service(runner))
     {
-        if (founder)
+        if (first_member)
         {
             REQUIRE_FALSE(
                 disk.initialize(address + ".first", {{{address + ".first", address, address, true}}}));
@@ -76,7 +76,7 @@
         REQUIRE_FALSE(runner.start(address));
         grpc::ServerBuilder builder;
         builder.AddListeningPort(address, grpc::InsecureServerCredentials());
-        take_large_messages(builder);
+        allow_large_messages(builder);
         builder.RegisterService(service.get());
         server = builder.BuildAndStart();
         REQUIRE(server != nullptr);
@@ -120,11 +120,11 @@
         std::filesystem::temp_directory_path() / ("plumspoke-rejoin-" + std::to_string(::getpid()));
     std::filesystem::remove_all(folder);
     {
-        replica_process founder(folder / "a", true);
+        replica_process first_member(folder / "a", true);
         REQUIRE(holds_within(seconds(10),
                              [&]
                              {
-                                 return founder.runner.may_act(std::chrono::steady_clock::now());
+                                 return first_member.runner.holds_lease(std::chrono::steady_clock::now());
                              }));
         std::atomic<bool> stopping{false};
         std::thread load(
@@ -132,24 +132,25 @@
             {
                 while (!stopping)
                 {
-                    (void)founder.runner.propose_and_wait("record", seconds(1));
+                    (void)first_member.runner.propose_and_wait("record", seconds(1));
                 }
             });
         CHECK(holds_within(seconds(60),
                            [&]
                            {
-                               return founder.machine.count >= records_before;
+                               return first_member.machine.count >= records_before;
                            }));
-        replica_process joiner(folder / "b", false);
-        const member self{joiner.disk.identity(), joiner.address, joiner.address, false};
-        std::string leader = founder.address;
+        replica_process joining_member(folder / "b", false);
+        const member self{
+            joining_member.disk.identity(), joining_member.address, joining_member.address, false};
+        std::string leader = first_member.address;
         CHECK(request_join(leader, self));
         CHECK(holds_within(seconds(3),
                            [&]
                            {
-                               return founder.runner.status().members.is_voter(self.id);
+                               return first_member.runner.status().members.is_voter(self.id);
                            }));
-        CHECK(founder.network.snapshots == 1);
+        CHECK(first_member.network.snapshots == 1);
         stopping = true;
         load.join();
     }
--- a/tests/src/unit-replica_snapshots.cpp
+++ b/tests/src/unit-replica_snapshots.cpp
@@ -22,9 +22,9 @@
 {
 
 constexpr std::size_t interval = 3000;
-constexpr std::size_t entries_of_a_save = 5; // 50 ms at 100 entries a second
+constexpr std::size_t entries_per_save = 5; // 50 ms at 100 entries a second
 
-std::array<std::string, 3> three_identities(int number)
+std::array<std::string, 3> make_identities(int number)
 {
     const std::string vm = "vm-" + std::to_string(number);
     return {vm + ".first", vm + "a.first", vm + "b.first"};
@@ -38,13 +38,13 @@
                    own.begin(),
                    [](const std::string& id)
                    {
-                       return own_snapshot_interval(id, interval);
+                       return jittered_snapshot_interval(id, interval);
                    });
     std::sort(own.begin(), own.end());
-    return own[1] - own[0] > entries_of_a_save && own[2] - own[1] > entries_of_a_save;
+    return own[1] - own[0] > entries_per_save && own[2] - own[1] > entries_per_save;
 }
 
-class no_transport final : public transport
+class null_transport final : public transport
 {
   public:
     void send(const std::string& /*address*/, const message& /*sent*/) override
@@ -62,9 +62,9 @@
     std::size_t longest = 0;
     for (int i = 0; i < groups; ++i)
     {
-        const std::array<std::string, 3> ids = three_identities(i);
+        const std::array<std::string, 3> ids = make_identities(i);
         differing += all_differ(ids) ? 1 : 0;
-        const std::size_t own = own_snapshot_interval(ids[0], interval);
+        const std::size_t own = jittered_snapshot_interval(ids[0], interval);
         shortest = std::min(shortest, own);
         longest = std::max(longest, own);
     }
@@ -73,12 +73,12 @@
     CHECK(shortest < interval * 55 / 100);
     CHECK(longest > interval * 95 / 100);
     CHECK(longest <= interval); // the setting bounds what a restart reads
-    CHECK(own_snapshot_interval("a", 1) == 1);
+    CHECK(jittered_snapshot_interval("a", 1) == 1);
 }
 
 TEST_CASE("a replica saves a snapshot after as many entries as its own interval says")
 {
-    constexpr std::size_t set = 40;
+    constexpr std::size_t configured_interval = 40;
     constexpr int records = 150;
     std::string pattern = (std::filesystem::temp_directory_path() / "plumspoke-snapshots-XXXXXX").string();
     REQUIRE(::mkdtemp(pattern.data()) != nullptr);
@@ -86,18 +86,18 @@
     {
         const std::filesystem::path folder = std::filesystem::path(pattern) / id;
         jobs::machine machine;
-        no_transport network;
+        null_transport network;
         log_index applied = 0;
         {
             storage disk(folder);
             REQUIRE_FALSE(disk.initialize(id, {{{id, id, id, true}}}));
             driver_options options;
-            options.snapshot_interval = set;
+            options.snapshot_interval = configured_interval;
             driver runner(options, disk, machine, network);
             REQUIRE_FALSE(runner.start(id));
-            const time_point begun = std::chrono::steady_clock::now();
-            while (!runner.status().may_act(std::chrono::steady_clock::now()) &&
-                   std::chrono::steady_clock::now() < begun + seconds(10))
+            const time_point started_at = std::chrono::steady_clock::now();
+            while (!runner.status().holds_lease(std::chrono::steady_clock::now()) &&
+                   std::chrono::steady_clock::now() < started_at + seconds(10))
             {
                 std::this_thread::sleep_for(milliseconds(5));
             }
@@ -113,8 +113,8 @@
         restored_state restored;
         storage disk(folder);
         REQUIRE_FALSE(disk.open(restored));
-        const std::size_t own = own_snapshot_interval(id, set);
-        CHECK(own < set);
+        const std::size_t own = jittered_snapshot_interval(id, configured_interval);
+        CHECK(own < configured_interval);
         CHECK(restored.base.index == applied / own * own);
     }
     std::filesystem::remove_all(pattern);
--- a/tests/src/unit-replica_storage.cpp
+++ b/tests/src/unit-replica_storage.cpp
@@ -110,7 +110,7 @@
             storage disk(folder.data());
             restored_state restored;
             CHECK(disk.open(restored) == errc::no_identity);
-            CHECK_FALSE(disk.adopt_identity("c1.new"));
+            CHECK_FALSE(disk.write_identity("c1.new"));
         }
         storage disk(folder.data());
         restored_state restored;
--- a/tests/src/unit-replica_transport.cpp
+++ b/tests/src/unit-replica_transport.cpp
@@ -22,7 +22,7 @@
 {
 
 /// @brief Holds the first call until it is let go, and keeps what the later ones bring.
-class slow_peer final : public wire::ReplicaPeer::Service
+class blocking_peer final : public wire::ReplicaPeer::Service
 {
   public:
     grpc::Status Deliver(grpc::ServerContext* /*context*/,
@@ -37,7 +37,7 @@
                               seconds(10),
                               [this]
                               {
-                                  return let_go_;
+                                  return released_;
                               });
             return grpc::Status::OK;
         }
@@ -60,10 +60,10 @@
                                      return calls_ > 0;
                                  });
     }
-    void let_go()
+    void release()
     {
         const std::lock_guard lock(mutex_);
-        let_go_ = true;
+        released_ = true;
         changed_.notify_all();
     }
 
@@ -91,12 +91,12 @@
     std::condition_variable changed_;
     int calls_ = 0;
     std::size_t largest_call_ = 0; // in bytes, after the first
-    bool let_go_ = false;
+    bool released_ = false;
     std::vector<wire::ReplicaMessage> received_;
 };
 
 /// @brief Takes a snapshot in after a while, as a machine does that has a part of a processor.
-class busy_peer final : public wire::ReplicaPeer::Service
+class slow_snapshot_receiver final : public wire::ReplicaPeer::Service
 {
   public:
     grpc::Status
@@ -108,19 +108,19 @@
         }
         ++calls;
         std::this_thread::sleep_for(milliseconds(2500));
-        taken += context->IsCancelled() ? 0 : 1;
+        completed += context->IsCancelled() ? 0 : 1;
         return grpc::Status::OK;
     }
     std::atomic<int> calls{0};
-    std::atomic<int> taken{0};
+    std::atomic<int> completed{0};
 };
 
-message of_term(term_number term, message_body body)
+message make_message(term_number term, message_body body)
 {
     return {"a", "b", term, std::move(body)};
 }
 
-install_snapshot snapshot_of(log_index index)
+install_snapshot make_snapshot(log_index index)
 {
     install_snapshot out;
     out.state.index = index;
@@ -143,7 +143,7 @@
 TEST_CASE("a snapshot on its way holds up no heartbeat, and of those that wait only the newest is sent")
 {
     const std::string address = test::free_address();
-    slow_peer peer;
+    blocking_peer peer;
     grpc::ServerBuilder builder;
     builder.AddListeningPort(address, grpc::InsecureServerCredentials());
     builder.RegisterService(&peer);
@@ -151,15 +151,15 @@
     REQUIRE(server != nullptr);
     {
         grpc_transport sender("127.0.0.1:1");
-        sender.send(address, of_term(1, snapshot_of(1)));
+        sender.send(address, make_message(1, make_snapshot(1)));
         REQUIRE(peer.wait_for_first());
-        sender.send(address, of_term(2, snapshot_of(2)));
-        sender.send(address, of_term(3, append{}));
-        sender.send(address, of_term(4, snapshot_of(3)));
-        sender.send(address, of_term(5, snapshot_of(4)));
-        sender.send(address, of_term(6, append{}));
+        sender.send(address, make_message(2, make_snapshot(2)));
+        sender.send(address, make_message(3, append{}));
+        sender.send(address, make_message(4, make_snapshot(3)));
+        sender.send(address, make_message(5, make_snapshot(4)));
+        sender.send(address, make_message(6, append{}));
         CHECK(terms_of(peer.wait_for(6)) == std::vector<term_number>{3, 6}); // while the first is on its way
-        peer.let_go();
+        peer.release();
         CHECK(terms_of(peer.wait_for(5)) == std::vector<term_number>{3, 6, 5});
     }
     server->Shutdown();
@@ -168,7 +168,7 @@
 TEST_CASE("a snapshot that was asked for again while it was on its way is not sent twice")
 {
     const std::string address = test::free_address();
-    slow_peer peer;
+    blocking_peer peer;
     grpc::ServerBuilder builder;
     builder.AddListeningPort(address, grpc::InsecureServerCredentials());
     builder.RegisterService(&peer);
@@ -176,12 +176,12 @@
     REQUIRE(server != nullptr);
     {
         grpc_transport sender("127.0.0.1:1");
-        sender.send(address, of_term(1, snapshot_of(1)));
+        sender.send(address, make_message(1, make_snapshot(1)));
         REQUIRE(peer.wait_for_first());
-        sender.send(address, of_term(2, snapshot_of(1)));
-        peer.let_go();
+        sender.send(address, make_message(2, make_snapshot(1)));
+        peer.release();
         std::this_thread::sleep_for(milliseconds(100));
-        sender.send(address, of_term(3, snapshot_of(2)));
+        sender.send(address, make_message(3, make_snapshot(2)));
         CHECK(terms_of(peer.wait_for(3)) == std::vector<term_number>{3});
     }
     server->Shutdown();
@@ -191,7 +191,7 @@
 TEST_CASE("a snapshot for a new disk is not taken for the one that its predecessor was sent")
 {
     const std::string address = test::free_address();
-    slow_peer peer;
+    blocking_peer peer;
     grpc::ServerBuilder builder;
     builder.AddListeningPort(address, grpc::InsecureServerCredentials());
     builder.RegisterService(&peer);
@@ -199,18 +199,18 @@
     REQUIRE(server != nullptr);
     {
         grpc_transport sender("127.0.0.1:1");
-        sender.send(address, {"a", "lost", 1, snapshot_of(1)});
+        sender.send(address, {"a", "lost", 1, make_snapshot(1)});
         REQUIRE(peer.wait_for_first());
-        sender.send(address, {"a", "new", 2, snapshot_of(1)});
+        sender.send(address, {"a", "new", 2, make_snapshot(1)});
         SECTION("where the first one is delivered")
         {
-            peer.let_go();
+            peer.release();
         }
         SECTION("where nobody answers for the first one")
         {
         }
         CHECK(terms_of(peer.wait_for(2)) == std::vector<term_number>{2});
-        peer.let_go();
+        peer.release();
     }
     server->Shutdown();
 }
@@ -223,24 +223,24 @@
 TEST_CASE("a snapshot whose receiver needs seconds for it arrives at the first try")
 {
     const std::string address = test::free_address();
-    busy_peer peer;
+    slow_snapshot_receiver peer;
     grpc::ServerBuilder builder;
-    take_large_messages(builder);
+    allow_large_messages(builder);
     builder.AddListeningPort(address, grpc::InsecureServerCredentials());
     builder.RegisterService(&peer);
     const std::unique_ptr<grpc::Server> server = builder.BuildAndStart();
     REQUIRE(server != nullptr);
     {
         grpc_transport sender("127.0.0.1:1");
-        install_snapshot large = snapshot_of(1);
+        install_snapshot large = make_snapshot(1);
         large.state.data.assign(5'000'000, 'x');
         const time_point end = std::chrono::steady_clock::now() + seconds(8);
-        while (peer.taken == 0 && std::chrono::steady_clock::now() < end)
+        while (peer.completed == 0 && std::chrono::steady_clock::now() < end)
         {
-            sender.send(address, of_term(1, large)); // the node repeats it each second
+            sender.send(address, make_message(1, large)); // the node repeats it each second
             std::this_thread::sleep_for(seconds(1));
         }
-        CHECK(peer.taken == 1);
+        CHECK(peer.completed == 1);
         CHECK(peer.calls == 1);
     }
     server->Shutdown();
@@ -253,7 +253,7 @@
 {
     constexpr std::size_t entry_bytes = 30'000;
     const std::string address = test::free_address();
-    slow_peer peer;
+    blocking_peer peer;
     grpc::ServerBuilder builder;
     builder.AddListeningPort(address, grpc::InsecureServerCredentials());
     builder.RegisterService(&peer);
@@ -261,16 +261,16 @@
     REQUIRE(server != nullptr);
     {
         grpc_transport sender("127.0.0.1:1");
-        sender.send(address, of_term(1, append{}));
+        sender.send(address, make_message(1, append{}));
         REQUIRE(peer.wait_for_first());
         for (term_number term = 2; term <= 41; ++term)
         {
             append body;
             body.entries.emplace_back();
             body.entries.back().data.assign(entry_bytes, 'x');
-            sender.send(address, of_term(term, std::move(body)));
+            sender.send(address, make_message(term, std::move(body)));
         }
-        peer.let_go();
+        peer.release();
         const std::vector<term_number> terms = terms_of(peer.wait_for(41));
         CHECK(std::count_if(terms.begin(),
                             terms.end(),
--- a/tests/src/unit-silent_connections.cpp
+++ b/tests/src/unit-silent_connections.cpp
@@ -50,9 +50,9 @@
 {
 
 /// @brief Milliseconds since a time.
-std::int64_t ms_since(time_point begun)
+std::int64_t elapsed_ms(time_point started_at)
 {
-    return std::chrono::duration_cast<milliseconds>(std::chrono::steady_clock::now() - begun).count();
+    return std::chrono::duration_cast<milliseconds>(std::chrono::steady_clock::now() - started_at).count();
 }
 
 template <typename Condition> bool holds_within(milliseconds limit, Condition condition)
@@ -69,7 +69,7 @@
     return false;
 }
 
-settings::job_settings default_settings_of_control()
+settings::job_settings default_control_settings()
 {
     std::vector<settings::fault> faults;
     settings::job_settings read =
@@ -120,7 +120,7 @@
         disk_ = std::make_unique<replica::storage>(folder);
         REQUIRE_FALSE(disk_->initialize(relay.address(), members));
         transport_ = std::make_unique<replica::grpc_transport>(relay.address());
-        const settings::job_settings read = default_settings_of_control();
+        const settings::job_settings read = default_control_settings();
         replica::driver_options options;
         options.node.election_timeout = milliseconds(read.election_timeout_ms);
         options.node.heartbeat_interval = milliseconds(read.heartbeat_ms);
@@ -149,10 +149,10 @@
 };
 
 /// @brief A group of three in a folder of its own.
-class group
+class test_cluster
 {
   public:
-    group()
+    test_cluster()
     {
         std::string pattern = (std::filesystem::temp_directory_path() / "plumspoke-XXXXXX").string();
         folder_ = ::mkdtemp(pattern.data());
@@ -166,34 +166,34 @@
             all[i].start(folder_ / std::to_string(i), members);
         }
     }
-    group(const group&) = delete;
-    group& operator=(const group&) = delete;
-    ~group()
+    test_cluster(const test_cluster&) = delete;
+    test_cluster& operator=(const test_cluster&) = delete;
+    ~test_cluster()
     {
         std::filesystem::remove_all(folder_);
     }
 
-    [[nodiscard]] bool has_acting_leader() const
+    [[nodiscard]] bool has_leader() const
     {
         const time_point now = std::chrono::steady_clock::now();
         return std::any_of(all.begin(),
                            all.end(),
                            [now](const replica_process& one)
                            {
-                               return one.runner->may_act(now);
+                               return one.runner->holds_lease(now);
                            });
     }
 
     /// @brief The longest time without an acting leader within a span from now on.
-    [[nodiscard]] std::int64_t longest_gap_ms(milliseconds span) const
+    [[nodiscard]] std::int64_t longest_leaderless_ms(milliseconds span) const
     {
         const time_point end = std::chrono::steady_clock::now() + span;
         std::int64_t longest = 0;
-        time_point acted_at = std::chrono::steady_clock::now();
+        time_point leader_seen_at = std::chrono::steady_clock::now();
         while (std::chrono::steady_clock::now() < end)
         {
-            longest = std::max(longest, ms_since(acted_at));
-            acted_at = has_acting_leader() ? std::chrono::steady_clock::now() : acted_at;
+            longest = std::max(longest, elapsed_ms(leader_seen_at));
+            leader_seen_at = has_leader() ? std::chrono::steady_clock::now() : leader_seen_at;
             std::this_thread::sleep_for(milliseconds(2));
         }
         return longest;
@@ -208,7 +208,7 @@
 // ---- a leader that answers ---------------------------------------------------------------------
 
 /// @brief Leads, and takes every relayed announcement.
-class willing_leader final : public wire::JobControl::Service
+class accepting_leader final : public wire::JobControl::Service
 {
   public:
     grpc::Status Leader(grpc::ServerContext* /*context*/,
@@ -245,7 +245,7 @@
 // ---- a worker that answers ---------------------------------------------------------------------
 
 /// @brief Polls as plain paths.
-class plain_polls final : public protocol::worker_protocol
+class path_protocol final : public protocol::worker_protocol
 {
   public:
     [[nodiscard]] http::request write(const dispatch::order& what) const override
@@ -276,27 +276,27 @@
 
 TEST_CASE("a leader goes on when all connections between replicas go silent")
 {
-    group three;
+    test_cluster cluster;
     REQUIRE(holds_within(seconds(10),
                          [&]
                          {
-                             return three.has_acting_leader();
+                             return cluster.has_leader();
                          }));
-    CHECK(three.longest_gap_ms(seconds(2)) < 100); // all is calm, and every connection is in use
+    CHECK(cluster.longest_leaderless_ms(seconds(2)) < 100); // all is calm, and every connection is in use
     for (int round = 0; round < 3; ++round)
     {
-        for (replica_process& one : three.all)
+        for (replica_process& one : cluster.all)
         {
             one.relay.go_silent();
         }
         // A worker's last renewal may be 1 s old, its lease is 4 s, and a new leader asks it twice.
-        CHECK(three.longest_gap_ms(seconds(4)) < 1000);
+        CHECK(cluster.longest_leaderless_ms(seconds(4)) < 1000);
     }
 }
 
 TEST_CASE("a call to the leader is answered in time though its connection is silent")
 {
-    willing_leader service;
+    accepting_leader service;
     const std::string address = test::free_address();
     grpc::ServerBuilder builder;
     builder.AddListeningPort(address, grpc::InsecureServerCredentials());
@@ -325,7 +325,7 @@
 
 TEST_CASE("a server ends connections whose other end is silent, also those without calls")
 {
-    willing_leader service;
+    accepting_leader service;
     const std::string address = test::free_address();
     grpc::ServerBuilder builder;
     builder.AddListeningPort(address, grpc::InsecureServerCredentials());
@@ -357,7 +357,7 @@
     REQUIRE(worker.start());
     test::silent_relay relay(options.address);
     boost::asio::io_context context;
-    const plain_polls protocol;
+    const path_protocol protocol;
     std::atomic<int> answers{0};
     std::atomic<bool> done{false};
     job_server::worker_caller caller(context,
@@ -396,13 +396,13 @@
     const std::int64_t pauses_ms = 150; // the leader's, before it asks again
     const std::int64_t reserve_ms = 500;
     const std::int64_t lease_ms = std::chrono::duration_cast<milliseconds>(limits.lease).count();
-    CHECK(limits.poll_wait.count() + ms_since(silent_at) + pauses_ms + reserve_ms < lease_ms);
+    CHECK(limits.poll_wait.count() + elapsed_ms(silent_at) + pauses_ms + reserve_ms < lease_ms);
     caller.reset();
 }
 
 TEST_CASE("connections that callers have left don't keep a control VM's threads")
 {
-    const settings::job_settings read = default_settings_of_control();
+    const settings::job_settings read = default_control_settings();
     http::server_options options;
     options.address = test::free_address();
     options.threads = read.http_threads;
@@ -412,8 +412,8 @@
     const auto is_answered_within = [&](milliseconds limit)
     {
         open.push_back(test::connect_to(options.address));
-        const timeval longest{limit.count() / 1000, limit.count() % 1000 * 1000};
-        ::setsockopt(open.back(), SOL_SOCKET, SO_RCVTIMEO, &longest, sizeof longest);
+        const timeval timeout_value{limit.count() / 1000, limit.count() % 1000 * 1000};
+        ::setsockopt(open.back(), SOL_SOCKET, SO_RCVTIMEO, &timeout_value, sizeof timeout_value);
         char first = 0;
         return ::send(open.back(), asked.data(), asked.size(), MSG_NOSIGNAL) > 0 &&
                ::recv(open.back(), &first, 1, 0) == 1;
--- a/tests/world/replica_world.cpp
+++ b/tests/world/replica_simulation.cpp
@@ -1,4 +1,4 @@
-#include "replica_world.hpp"
+#include "replica_simulation.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -12,15 +12,15 @@
 {
 
 constexpr auto tick_interval = milliseconds(5);
-constexpr auto refused_after = milliseconds(5); // a connection to a process that isn't there yet
+constexpr auto connection_refused_delay = milliseconds(5); // a connection to a process that isn't there yet
 constexpr auto membership_interval = milliseconds(200);
 constexpr auto join_interval = milliseconds(500);
-constexpr std::size_t own_interval_spread = 100;
+constexpr std::size_t snapshot_interval_step = 100;
 
-node_options options_of(const replica_load& load)
+node_options options_of(const simulation_load& load)
 {
     node_options out;
-    out.wanted_voters = load.vms;
+    out.target_voter_count = load.vms;
     return out;
 }
 
@@ -32,7 +32,7 @@
 } // namespace
 
 /// @brief Snapshots from one VM to another.
-struct replica_world::lane
+struct replica_simulation::snapshot_channel
 {
     snapshot_queue queue;
     std::uint64_t transfer = 0; // rises with each, so that a cancelled one is told apart
@@ -40,29 +40,29 @@
 };
 
 /// @brief One control VM: what its disk holds, and its process.
-struct replica_world::vm
+struct replica_simulation::vm
 {
     std::string address;
     std::size_t snapshot_interval = 0;
     member_id id;
     restored_state disk;
     std::unique_ptr<node> process; // empty: down
-    std::uint64_t life = 0;        // rises with each start and stop
+    std::uint64_t incarnation = 0; // rises with each start and stop
     join_requests joining;
     snapshot_schedule snapshots;
     log_index applied = 0;
     time_point busy_until{};
-    time_point link_free_at{}; // of the snapshots that it sends
-    time_point next_look{};
+    time_point link_idle_at{}; // of the snapshots that it sends
+    time_point next_join_check{};
     time_point next_join{};
-    double owed_entries = 0;
+    double fractional_entries = 0;
     duration extra_delay{};
     std::vector<message> inbox;
-    std::map<std::string, lane> lanes;
+    std::map<std::string, snapshot_channel> snapshot_channels;
 };
 
-replica_world::replica_world(std::uint64_t seed, const replica_load& load)
-    : load_(load), random_(seed), begun_(from_microseconds(3'600'000'000)), now_(begun_)
+replica_simulation::replica_simulation(std::uint64_t seed, const simulation_load& load)
+    : load_(load), random_(seed), start_time_(from_microseconds(3'600'000'000)), now_(start_time_)
 {
     membership all;
     for (std::size_t i = 0; i < load.vms; ++i)
@@ -74,7 +74,7 @@
     {
         auto made = std::make_unique<vm>();
         made->address = one.address;
-        made->snapshot_interval = load.snapshot_interval - own_interval_spread * vms_.size();
+        made->snapshot_interval = load.snapshot_interval - snapshot_interval_step * vms_.size();
         made->id = one.id;
         made->disk.base.members = all;
         vms_.push_back(std::move(made));
@@ -82,61 +82,61 @@
     }
 }
 
-replica_world::~replica_world() = default;
+replica_simulation::~replica_simulation() = default;
 
 // ---- faults ------------------------------------------------------------------------------------
 
-void replica_world::lose_disk(duration at, std::size_t number, duration down_for)
+void replica_simulation::lose_disk(duration at, std::size_t number, duration down_for)
 {
-    schedule(begun_ + at,
+    schedule(start_time_ + at,
              [this, number, down_for]
              {
                  stop(*vms_.at(number), true, down_for);
              });
 }
 
-void replica_world::lose_power(duration at, std::size_t number, duration down_for)
+void replica_simulation::lose_power(duration at, std::size_t number, duration down_for)
 {
-    schedule(begun_ + at,
+    schedule(start_time_ + at,
              [this, number, down_for]
              {
                  stop(*vms_.at(number), false, down_for);
              });
 }
 
-void replica_world::kill_leader(duration at, duration down_for)
+void replica_simulation::kill_leader(duration at, duration down_for)
 {
-    schedule(begun_ + at,
+    schedule(start_time_ + at,
              [this, down_for]
              {
-                 if (vm* leads = leader(); leads != nullptr)
+                 if (vm* current_leader = leader(); current_leader != nullptr)
                  {
-                     stop(*leads, false, down_for);
+                     stop(*current_leader, false, down_for);
                  }
              });
 }
 
-void replica_world::slow_down(duration at, std::size_t number, duration extra, duration for_how_long)
+void replica_simulation::add_delay(duration at, std::size_t number, duration extra_delay, duration length)
 {
-    schedule(begun_ + at,
-             [this, number, extra]
+    schedule(start_time_ + at,
+             [this, number, extra_delay]
              {
-                 vms_.at(number)->extra_delay = extra;
+                 vms_.at(number)->extra_delay = extra_delay;
              });
-    schedule(begun_ + at + for_how_long,
+    schedule(start_time_ + at + length,
              [this, number]
              {
                  vms_.at(number)->extra_delay = {};
              });
 }
 
-void replica_world::stop(vm& of, bool disk_is_lost, duration down_for)
+void replica_simulation::stop(vm& of, bool disk_is_lost, duration down_for)
 {
     if (disk_is_lost)
     {
-        waiting_for_vote_.erase(of.id);
+        join_requested_at_.erase(of.id);
         of.disk = {};
-        of.id = of.address + "." + std::to_string(of.life);
+        of.id = of.address + "." + std::to_string(of.incarnation);
         ++outcome_.disks_lost;
     }
     if (of.process == nullptr)
@@ -144,7 +144,7 @@
         return; // it starts when it would have
     }
     of.process.reset();
-    ++of.life;
+    ++of.incarnation;
     schedule(now_ + down_for,
              [this, &of]
              {
@@ -152,27 +152,27 @@
              });
 }
 
-void replica_world::start(vm& of)
+void replica_simulation::start(vm& of)
 {
-    ++of.life;
+    ++of.incarnation;
     of.inbox.clear();
-    of.lanes.clear();
+    of.snapshot_channels.clear();
     of.joining = {};
     of.applied = of.disk.base.index;
     of.snapshots = {of.snapshot_interval, of.disk.base.index};
     of.process = std::make_unique<node>(of.id, options_of(load_), of.disk, now_, random_());
     of.busy_until = now_;
-    of.link_free_at = now_;
-    of.next_look = now_ + random(membership_interval);
+    of.link_idle_at = now_;
+    of.next_join_check = now_ + random(membership_interval);
     of.next_join = now_;
-    of.owed_entries = 0;
+    of.fractional_entries = 0;
 }
 
 // ---- the loop ----------------------------------------------------------------------------------
 
-replica_outcome replica_world::run(duration until)
+simulation_result replica_simulation::run(duration until)
 {
-    const time_point end = begun_ + until;
+    const time_point end = start_time_ + until;
     while (now_ < end)
     {
         now_ += tick_interval;
@@ -185,87 +185,87 @@
         {
             step(*one);
         }
-        check_votes();
+        record_regained_votes();
     }
     outcome_.committed = committed_.size();
     return outcome_;
 }
 
-void replica_world::schedule(time_point at, std::function<void()> action)
+void replica_simulation::schedule(time_point at, std::function<void()> action)
 {
-    events_[{at, next_event_++}] = std::move(action);
+    events_[{at, next_event_number_++}] = std::move(action);
 }
 
-void replica_world::step(vm& of)
+void replica_simulation::step(vm& of)
 {
     if (of.process == nullptr || now_ < of.busy_until)
     {
         return;
     }
-    ask_to_join(of);
+    request_join(of);
     for (const message& received : std::exchange(of.inbox, {}))
     {
         of.process->receive(now_, received);
     }
     of.process->tick(now_);
-    of.owed_entries += load_.entries_per_s * std::chrono::duration<double>(tick_interval).count();
-    if (const auto count = static_cast<std::size_t>(of.owed_entries); count > 0)
+    of.fractional_entries += load_.entries_per_s * std::chrono::duration<double>(tick_interval).count();
+    if (const auto count = static_cast<std::size_t>(of.fractional_entries); count > 0)
     {
-        of.owed_entries -= static_cast<double>(count);
+        of.fractional_entries -= static_cast<double>(count);
         if (of.process->holds_lease(now_))
         {
             (void)of.process->propose(now_, std::vector<std::string>(count, "entry"));
         }
     }
-    manage_membership(of);
+    change_membership(of);
     flush(of);
     save_snapshot_if_due(of);
 }
 
-void replica_world::ask_to_join(vm& of)
+void replica_simulation::request_join(vm& of)
 {
-    if (now_ < of.next_look)
+    if (now_ < of.next_join_check)
     {
         return;
     }
-    of.next_look = now_ + membership_interval;
-    vm* asked = leader();
-    if (of.process->members().find(of.id) != nullptr || now_ < of.next_join || asked == nullptr)
+    of.next_join_check = now_ + membership_interval;
+    vm* target = leader();
+    if (of.process->members().find(of.id) != nullptr || now_ < of.next_join || target == nullptr)
     {
         return;
     }
     of.next_join = now_ + join_interval;
-    waiting_for_vote_.try_emplace(of.id, now_);
+    join_requested_at_.try_emplace(of.id, now_);
     const member self{of.id, of.address, of.address, false};
-    const std::uint64_t life = asked->life;
+    const std::uint64_t incarnation = target->incarnation;
     schedule(now_ + 2 * load_.link_delay,
-             [this, asked, life, self]
+             [this, target, incarnation, self]
              {
-                 if (asked->life == life && asked->process != nullptr)
+                 if (target->incarnation == incarnation && target->process != nullptr)
                  {
-                     asked->joining.add(self, now_);
+                     target->joining.add(self, now_);
                  }
              });
 }
 
-void replica_world::manage_membership(vm& of)
+void replica_simulation::change_membership(vm& of)
 {
-    const std::vector<member> joining = of.joining.open(now_, of.process->members());
+    const std::vector<member> joining = of.joining.pending(now_, of.process->members());
     if (of.process->current_role() != role::leader || of.process->membership_change_pending())
     {
         return;
     }
     if (const auto changed = next_membership(*of.process, joining, now_, options_of(load_)))
     {
-        const bool takes_in = of.process->members().find(changed->members.back().id) == nullptr;
-        if (of.process->propose_membership(now_, *changed) && takes_in)
+        const bool adds_learner = of.process->members().find(changed->members.back().id) == nullptr;
+        if (of.process->propose_membership(now_, *changed) && adds_learner)
         {
             of.snapshots.on_member_joined(now_);
         }
     }
 }
 
-void replica_world::flush(vm& of)
+void replica_simulation::flush(vm& of)
 {
     const node_output output = of.process->take_output();
     const duration written = output.must_sync() ? load_.sync_time : duration(0);
@@ -281,10 +281,10 @@
         of.applied = output.installed->index;
         of.snapshots.on_saved(of.applied);
     }
-    check(of, output.committed);
+    check_committed(of, output.committed);
 }
 
-void replica_world::persist(vm& of, const node_output& output)
+void replica_simulation::persist(vm& of, const node_output& output)
 {
     if (output.hard.has_value())
     {
@@ -306,9 +306,9 @@
     of.disk.entries.insert(of.disk.entries.end(), output.entries.begin(), output.entries.end());
 }
 
-void replica_world::save_snapshot_if_due(vm& of)
+void replica_simulation::save_snapshot_if_due(vm& of)
 {
-    of.process->await_snapshot(of.snapshots.is_awaited(now_, of.applied));
+    of.process->set_snapshot_pending(of.snapshots.is_fresh_snapshot_pending(now_, of.applied));
     if (now_ < of.busy_until || !of.snapshots.is_due(now_, of.applied, false, true))
     {
         return;
@@ -328,7 +328,7 @@
 
 // ---- links -------------------------------------------------------------------------------------
 
-void replica_world::send(vm& from, const message& sent, duration delay)
+void replica_simulation::send(vm& from, const message& sent, duration delay)
 {
     vm* to = find(address_of(sent.to));
     if (std::holds_alternative<install_snapshot>(sent.body))
@@ -348,9 +348,9 @@
              });
 }
 
-void replica_world::send_snapshot(vm& from, vm& to, const message& sent)
+void replica_simulation::send_snapshot(vm& from, vm& to, const message& sent)
 {
-    lane& on = from.lanes[to.address];
+    snapshot_channel& on = from.snapshot_channels[to.address];
     if (on.queue.push(sent))
     {
         on.queue.finish(false);
@@ -362,10 +362,10 @@
     }
 }
 
-void replica_world::begin_transfer(vm& from, vm& to)
+void replica_simulation::begin_transfer(vm& from, vm& to)
 {
-    lane& on = from.lanes[to.address];
-    const std::optional<message> next = on.queue.take();
+    snapshot_channel& on = from.snapshot_channels[to.address];
+    const std::optional<message> next = on.queue.pop();
     if (!next.has_value())
     {
         return;
@@ -373,36 +373,43 @@
     on.busy = true;
     ++on.transfer;
     ++outcome_.snapshots_sent;
-    time_point ends = now_ + (random_() % 2 == 0 ? load_.connect_timeout : duration(refused_after));
+    time_point ends =
+        now_ + (random_() % 2 == 0 ? load_.connect_timeout : duration(connection_refused_delay));
     if (to.process != nullptr)
     {
-        from.link_free_at = std::max(now_, from.link_free_at) + load_.transfer_time;
-        ends = from.link_free_at + from.extra_delay + to.extra_delay;
+        from.link_idle_at = std::max(now_, from.link_idle_at) + load_.transfer_time;
+        ends = from.link_idle_at + from.extra_delay + to.extra_delay;
     }
-    schedule(
-        ends,
-        [this, &from, &to, sent = *next, life_from = from.life, life_to = to.life, transfer = on.transfer]
-        {
-            if (from.life != life_from || from.lanes[to.address].transfer != transfer ||
-                !from.lanes[to.address].busy)
-            {
-                return;
-            }
-            const bool delivered = to.process != nullptr && to.life == life_to;
-            lane& ended = from.lanes[to.address];
-            ended.busy = false;
-            ended.queue.finish(delivered);
-            if (delivered)
-            {
-                to.inbox.push_back(sent);
-            }
-            begin_transfer(from, to);
-        });
+    schedule(ends,
+             [this,
+              &from,
+              &to,
+              sent = *next,
+              from_incarnation = from.incarnation,
+              to_incarnation = to.incarnation,
+              transfer = on.transfer]
+             {
+                 if (from.incarnation != from_incarnation ||
+                     from.snapshot_channels[to.address].transfer != transfer ||
+                     !from.snapshot_channels[to.address].busy)
+                 {
+                     return;
+                 }
+                 const bool delivered = to.process != nullptr && to.incarnation == to_incarnation;
+                 snapshot_channel& ended = from.snapshot_channels[to.address];
+                 ended.busy = false;
+                 ended.queue.finish(delivered);
+                 if (delivered)
+                 {
+                     to.inbox.push_back(sent);
+                 }
+                 begin_transfer(from, to);
+             });
 }
 
 // ---- promises ----------------------------------------------------------------------------------
 
-void replica_world::check(vm& of, const std::vector<log_entry>& committed)
+void replica_simulation::check_committed(vm& of, const std::vector<log_entry>& committed)
 {
     for (const log_entry& one : committed)
     {
@@ -410,29 +417,29 @@
         const auto [found, added] = committed_.try_emplace(one.index, one.term);
         if (!added && found->second != one.term)
         {
-            outcome_.broken.push_back(of.address + " has committed another entry " +
-                                      std::to_string(one.index));
+            outcome_.violations.push_back(of.address + " has committed another entry " +
+                                          std::to_string(one.index));
         }
     }
     if (of.process->holds_lease(now_) && !committed_.empty() &&
         of.process->last_index() < committed_.rbegin()->first)
     {
-        outcome_.broken.push_back(of.address + " leads without entry " +
-                                  std::to_string(committed_.rbegin()->first));
+        outcome_.violations.push_back(of.address + " leads without entry " +
+                                      std::to_string(committed_.rbegin()->first));
     }
 }
 
-void replica_world::check_votes()
+void replica_simulation::record_regained_votes()
 {
-    const vm* leads = leader();
-    if (leads == nullptr || leads->process->membership_change_pending())
+    const vm* current_leader = leader();
+    if (current_leader == nullptr || current_leader->process->membership_change_pending())
     {
         return;
     }
-    std::erase_if(waiting_for_vote_,
-                  [this, leads](const auto& one)
+    std::erase_if(join_requested_at_,
+                  [this, current_leader](const auto& one)
                   {
-                      const bool votes = leads->process->members().is_voter(one.first);
+                      const bool votes = current_leader->process->members().is_voter(one.first);
                       if (votes)
                       {
                           ++outcome_.votes_regained;
@@ -443,7 +450,7 @@
                   });
 }
 
-replica_world::vm* replica_world::leader()
+replica_simulation::vm* replica_simulation::leader()
 {
     for (const std::unique_ptr<vm>& one : vms_)
     {
@@ -455,7 +462,7 @@
     return nullptr;
 }
 
-replica_world::vm* replica_world::find(const std::string& address)
+replica_simulation::vm* replica_simulation::find(const std::string& address)
 {
     const auto found = std::find_if(vms_.begin(),
                                     vms_.end(),
@@ -466,7 +473,7 @@
     return found == vms_.end() ? nullptr : found->get();
 }
 
-duration replica_world::random(duration most)
+duration replica_simulation::random(duration most)
 {
     return duration(static_cast<std::int64_t>(random_() % static_cast<std::uint64_t>(most.count() + 1)));
 }
--- a/tests/world/replica_world.hpp
+++ b/tests/world/replica_simulation.hpp
@@ -23,7 +23,7 @@
 {
 
 /// @brief Times and sizes of a group.
-struct replica_load
+struct simulation_load
 {
     std::size_t vms = 5;
     double entries_per_s = 300;
@@ -38,7 +38,7 @@
 };
 
 /// @brief What a world saw.
-struct replica_outcome
+struct simulation_result
 {
     std::vector<std::string> broken;   // a broken promise is a sentence
     std::vector<duration> vote_delays; // from a new disk's first request to its vote
@@ -49,60 +49,60 @@
 };
 
 /// @brief Control VMs, the links between them, and what happens to them.
-class replica_world
+class replica_simulation
 {
   public:
-    replica_world(std::uint64_t seed, const replica_load& load);
-    replica_world(const replica_world&) = delete;
-    replica_world& operator=(const replica_world&) = delete;
-    ~replica_world();
+    replica_simulation(std::uint64_t seed, const simulation_load& load);
+    replica_simulation(const replica_simulation&) = delete;
+    replica_simulation& operator=(const replica_simulation&) = delete;
+    ~replica_simulation();
 
     /// @name faults, at a time since the beginning
     /// @{
     void lose_disk(duration at, std::size_t vm, duration down_for);
     void lose_power(duration at, std::size_t vm, duration down_for);
 
-    /// @brief Kills whoever leads then.
+    /// @brief Kills the leader of that moment.
     void kill_leader(duration at, duration down_for);
 
     /// @brief Messages from or to this VM take so much longer for a while.
-    void slow_down(duration at, std::size_t vm, duration extra, duration for_how_long);
+    void add_delay(duration at, std::size_t vm, duration extra_delay, duration length);
     /// @}
 
-    [[nodiscard]] replica_outcome run(duration until);
+    [[nodiscard]] simulation_result run(duration until);
 
   private:
     struct vm;
-    struct lane;
+    struct snapshot_channel;
 
     void schedule(time_point at, std::function<void()> action);
     void stop(vm& of, bool disk_is_lost, duration down_for);
     void start(vm& of);
     void step(vm& of);
-    void ask_to_join(vm& of);
-    void manage_membership(vm& of);
+    void request_join(vm& of);
+    void change_membership(vm& of);
     void flush(vm& of);
     void persist(vm& of, const replica::node_output& output);
     void save_snapshot_if_due(vm& of);
     void send(vm& from, const replica::message& sent, duration delay);
     void send_snapshot(vm& from, vm& to, const replica::message& sent);
     void begin_transfer(vm& from, vm& to);
-    void check(vm& of, const std::vector<replica::log_entry>& committed);
-    void check_votes();
+    void check_committed(vm& of, const std::vector<replica::log_entry>& committed);
+    void record_regained_votes();
     [[nodiscard]] vm* leader();
     [[nodiscard]] vm* find(const std::string& address);
     [[nodiscard]] duration random(duration most);
 
-    replica_load load_;
+    simulation_load load_;
     std::mt19937_64 random_;
-    time_point begun_;
+    time_point start_time_;
     time_point now_;
-    std::uint64_t next_event_ = 0;
+    std::uint64_t next_event_number_ = 0;
     std::map<std::pair<time_point, std::uint64_t>, std::function<void()>> events_;
     std::vector<std::unique_ptr<vm>> vms_;
     std::map<replica::log_index, replica::term_number> committed_;
-    std::map<replica::member_id, time_point> waiting_for_vote_; // disks, since their first request
-    replica_outcome outcome_;
+    std::map<replica::member_id, time_point> join_requested_at_; // disks, since their first request
+    simulation_result outcome_;
 };
 
 } // namespace plumspoke::test
