--- a/include/plumspoke/replica/codec.hpp
+++ b/include/plumspoke/replica/codec.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief Turns the replica's values into protobuf messages and back.
+/// @brief Conversion between the replica's value types and protobuf messages.
 
 #include "plumspoke/plumspoke.pb.h"
 #include "plumspoke/replica/node.hpp"
@@ -11,7 +11,7 @@
 
 [[nodiscard]] wire::ReplicaMessage to_wire(const message& value);
 
-/// @return the message, or nothing where its body is of no kind that is known here
+/// @return the message, or nullopt if its body is missing or of an unknown kind
 [[nodiscard]] std::optional<message> from_wire(const wire::ReplicaMessage& value);
 
 [[nodiscard]] wire::Membership to_wire(const membership& value);
--- a/include/plumspoke/replica/driver.hpp
+++ b/include/plumspoke/replica/driver.hpp
@@ -1,10 +1,10 @@
 #pragma once
 
 /// @file
-/// @brief The shell around a node: one thread that syncs, sends and applies, in this order.
+/// @brief Runs a node on a thread that syncs, sends and applies, in this order.
 ///
-/// The thread renews the leader's lease, so it waits for the state for a tick at most: what can't be applied
-/// by then stays queued, and is applied after the messages that have come meanwhile.
+/// The thread also renews the leader's lease, so it waits at most one tick for access to the state machine.
+/// Entries that can't be applied by then stay queued until the messages received meanwhile are processed.
 
 #include "plumspoke/replica/join_requests.hpp"
 #include "plumspoke/replica/membership_change.hpp"
@@ -24,21 +24,22 @@
 namespace plumspoke::replica
 {
 
-/// @brief What is replicated: applied in the same order on every replica, with no clock and no chance.
+/// @brief The replicated state machine. All replicas apply the same commands in the same order, so `apply`
+///        has to be deterministic: it may depend on neither a clock nor random numbers.
 class state_machine
 {
   public:
     virtual ~state_machine() = default;
 
-    /// @return the answer for whoever proposed the command
+    /// @return the answer for the caller that proposed the command
     virtual std::string apply(log_index index, std::string_view command) = 0;
     [[nodiscard]] virtual std::string save() const = 0;
     virtual void restore(std::string_view saved) = 0;
 
-    /// @name with a limit, for the driver's thread
-    /// @brief The same where others may hold the state for long. By default it is taken as never held.
-    /// @param limit how long to wait for the state; with 0, not at all
-    /// @return nothing or false where the state was held all the time; nothing is changed then
+    /// @name variants with a timeout, called by the driver's thread
+    /// @brief For state machines whose lock others may hold for long. The defaults never wait.
+    /// @param limit how long to wait for the lock; 0: don't wait
+    /// @return nullopt or false if the lock was not acquired; the state is unchanged then
     /// @{
     virtual std::optional<std::string>
     try_apply(log_index index, std::string_view command, duration /*limit*/)
@@ -57,7 +58,7 @@
     /// @}
 };
 
-/// @brief Carries messages to other replicas; may lose, delay, double or reorder them.
+/// @brief Sends messages to other replicas. Messages may be lost, delayed, duplicated or reordered.
 class transport
 {
   public:
@@ -65,7 +66,7 @@
     virtual void send(const std::string& address, const message& sent) = 0;
 };
 
-/// @brief How a proposed command ended.
+/// @brief Outcome of a proposed command.
 struct proposal_result
 {
     std::error_code error;
@@ -74,7 +75,7 @@
 
 using proposal_callback = std::function<void(proposal_result)>;
 
-/// @brief What other threads may know of the replica, as of the last round.
+/// @brief Snapshot of the replica's status for other threads, as of the driver's last round.
 struct replica_status
 {
     member_id id;
@@ -87,42 +88,45 @@
     log_index applied_index = 0;
     log_index last_index = 0;
     membership members;
-    std::vector<log_index> match; // in the order of members; leaders only
+    std::vector<log_index> match; // match index of each member, in the order of members; leaders only
     bool membership_pending = false;
     time_point lease_end{};
     time_point leader_since{};
     bool term_committed = false;
     std::uint64_t sync_count = 0;
     std::uint64_t commit_rounds = 0;
-    std::uint64_t cpu_time_us = 0; // processor time of the replica's thread
+    std::uint64_t cpu_time_us = 0; // of the driver's thread
     std::error_code failure;
-    leadership_record last_leadership; // the last term that this replica led and leads no more
+    leadership_record last_leadership; // the last term that this replica led, after it has stepped down
 
     [[nodiscard]] bool is_leader() const noexcept
     {
         return current_role == role::leader;
     }
 
-    /// @brief Whether this replica may act as the leader at `now` without asking anyone.
+    /// @brief Whether this replica is the leader, has applied all entries committed by earlier leaders, and
+    ///        its lease has not expired at `now`.
     [[nodiscard]] bool holds_lease(time_point now) const noexcept
     {
         return is_leader() && term_committed && now < lease_end;
     }
 };
 
-/// @brief Sizes of the driver.
+/// @brief Limits of the driver.
 struct driver_options
 {
     node_options node;
-    std::size_t snapshot_interval = 2000;       // the most entries between snapshots
-    std::size_t max_queued_proposals = 20000;   // proposals that wait; more are refused
-    std::size_t max_proposals_per_round = 1024; // proposals appended in one round
+    std::size_t snapshot_interval = 2000;     // maximum number of entries between snapshots
+    std::size_t max_queued_proposals = 20000; // further proposals are rejected
+    std::size_t max_proposals_per_round = 1024;
 };
 
-/// @brief A replica's own number of entries between snapshots: from half of the set one up to all of it.
-/// @note Replicas apply the same entries, and their threads neither send nor hear while they save. With one
-///       interval all would save at the same entry, and the leader would be silent together with its quorum.
-[[nodiscard]] std::size_t jittered_snapshot_interval(std::string_view id, std::size_t set) noexcept;
+/// @brief Snapshot interval of one replica, in entries: between half and all of the configured interval.
+/// @note A replica's thread neither sends nor receives while it saves a snapshot. Replicas apply the same
+///       entries, so with equal intervals the leader and its quorum would stop responding at the same entry.
+/// @param id identity of the replica; the result depends on nothing else
+/// @param configured the configured interval
+[[nodiscard]] std::size_t jittered_snapshot_interval(std::string_view id, std::size_t configured) noexcept;
 
 /// @brief Runs one replica.
 class driver
@@ -135,29 +139,34 @@
     driver& operator=(const driver&) = delete;
     ~driver();
 
-    /// @brief Reads the disk and starts the thread.
-    /// @param name this VM's name; a folder without an identity gets a new one with it
-    /// @return an error of the disk; nothing runs then
+    /// @brief Reads the data folder and starts the thread.
+    /// @param name name of this VM; prefix of the identity that a folder without one gets
+    /// @return a storage error; the thread is not started then
     [[nodiscard]] std::error_code start(const std::string& name);
 
-    /// @brief Steps down where it leads, answers what waits with `stopping`, ends the thread.
+    /// @brief Ends the thread, steps down if this replica leads, and fails pending proposals with
+    ///        `errc::stopping`.
     void stop();
     /// @}
 
     /// @name events
     /// @{
 
-    /// @brief Queues a command; the callback comes from the driver's thread.
+    /// @brief Queues a command. The callback runs on the driver's thread, or at once if the command is
+    ///        rejected.
     void propose(std::string command, proposal_callback done);
 
-    /// @brief Queues a command and waits for its end.
+    /// @brief Queues a command and waits until it is applied.
+    /// @return `errc::lost_leadership` if the limit passes first: the command may still be committed
     [[nodiscard]] proposal_result propose_and_wait(std::string command, duration limit);
 
-    /// @param from_address where its sender is reached; empty: only by the membership
+    /// @brief Queues a message from another replica.
+    /// @param received the message
+    /// @param from_address address of the sender; empty: known from the membership only
     void receive(message received, const std::string& from_address = {});
 
-    /// @brief Takes a joining member in as a learner.
-    /// @return false where this is not the leader, or the name is held by a member that answers
+    /// @brief Queues a request to add a member as a learner.
+    /// @return false if this replica is not the leader
     [[nodiscard]] bool join(const member& joining);
     /// @}
 
@@ -216,12 +225,12 @@
     std::deque<message> inbox_;
     std::deque<queued_proposal> queued_proposals_;
     join_requests join_requests_;
-    std::map<member_id, std::string> sender_addresses_; // of senders, for a member that has no membership yet
+    std::map<member_id, std::string> sender_addresses_; // for a joining member, which has no membership yet
     replica_status status_;
     std::atomic<bool> stopping_{false};
 
     std::map<log_index, pending_proposal> pending_proposals_;
-    // Committed or taken from the leader, but not in the state yet: first the snapshot, then the entries.
+    // Received from the leader or committed, but not applied yet; the snapshot comes before the entries.
     std::optional<snapshot> snapshot_to_install_;
     std::deque<log_entry> apply_queue_;
     log_index applied_index_ = 0;
--- a/include/plumspoke/replica/error.hpp
+++ b/include/plumspoke/replica/error.hpp
@@ -1,14 +1,14 @@
 #pragma once
 
 /// @file
-/// @brief Errors of the replica layer: ids 200 to 299.
+/// @brief Error codes of the replica layer: 200 to 299.
 
 #include "plumspoke/error/category.hpp"
 
 namespace plumspoke::replica
 {
 
-/// @brief What can go wrong with the replicated log and its disk.
+/// @brief Errors of the replicated log and its storage.
 enum class errc : std::uint16_t
 {
     not_leader = 200,
--- a/include/plumspoke/replica/frame.hpp
+++ b/include/plumspoke/replica/frame.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief The frames of the files in the data folder.
+/// @brief Framing of the files in the data folder.
 
 #include <cstdint>
 #include <string>
@@ -11,33 +11,34 @@
 namespace plumspoke::replica
 {
 
-/// @brief Length, payload check, header check.
+/// @brief Header size in bytes: payload length, payload checksum and header checksum, 32 bits each.
 inline constexpr std::size_t frame_header_size = 12;
 
-/// @brief CRC-32C (Castagnoli), by Boost.CRC.
+/// @brief Computes the CRC-32C (Castagnoli) checksum.
 [[nodiscard]] std::uint32_t crc32c(std::string_view bytes) noexcept;
 
-/// @brief A payload with its header.
+/// @brief Prepends the header to a payload.
 [[nodiscard]] std::string make_frame(std::string_view payload);
 
-/// @brief How a file ends.
+/// @brief How the frames of a file end.
 enum class tail : std::uint8_t
 {
     clean,
-    torn,    // an incomplete last frame: never acknowledged
-    damaged, // a bad frame with a good one behind it
+    torn,    // no valid frame follows the first invalid one: an incomplete, never acknowledged write
+    damaged, // a valid frame follows the first invalid one
 };
 
-/// @brief What a scan of a file found; the payloads are views into it.
+/// @brief Result of scanning a file; the payloads are views into the scanned bytes.
 struct frame_scan
 {
     std::vector<std::string_view> payloads;
-    std::size_t valid_size = 0; // where the good frames end
+    std::size_t valid_size = 0; // end of the valid frames, in bytes
     tail end = tail::clean;
 };
 
-/// @brief Reads frames up to the first bad one, and says which kind of end that is.
-/// @complexity Linear; quadratic at worst behind a bad frame, where each offset is tried.
+/// @brief Reads frames up to the first invalid one, and classifies how they end.
+/// @complexity Linear for valid frames; quadratic in the worst case after an invalid one, because each
+///             following offset is tried.
 [[nodiscard]] frame_scan scan_frames(std::string_view bytes);
 
 } // namespace plumspoke::replica
--- a/include/plumspoke/replica/grpc_transport.hpp
+++ b/include/plumspoke/replica/grpc_transport.hpp
@@ -1,9 +1,8 @@
 #pragma once
 
 /// @file
-/// @brief Messages between replicas over gRPC: a bounded queue and a thread for each peer, and a connection
-/// and
-///        a thread of their own for snapshots to it.
+/// @brief Messages between replicas over gRPC. Each peer has a bounded queue and a thread, and a separate
+///        connection and thread for snapshots.
 
 #include "plumspoke/replica/driver.hpp"
 
@@ -19,11 +18,11 @@
 namespace plumspoke::replica
 {
 
-/// @brief Sends to each address from a thread of its own, so that a silent peer holds nobody else up.
+/// @brief Sends to each address on a separate thread, so that an unresponsive peer does not delay others.
 class grpc_transport final : public transport
 {
   public:
-    /// @param own_address where answers to what is sent are to go
+    /// @param own_address address that peers send their replies to
     explicit grpc_transport(std::string own_address);
     grpc_transport(const grpc_transport&) = delete;
     grpc_transport& operator=(const grpc_transport&) = delete;
@@ -31,10 +30,10 @@
 
     void send(const std::string& address, const message& sent) override;
 
-    /// @brief Bytes handed to gRPC so far.
+    /// @brief Total number of bytes passed to gRPC.
     [[nodiscard]] std::uint64_t bytes_sent() const noexcept;
 
-    /// @brief Calls that ran into their limit on a connection that had carried an answer before.
+    /// @brief Number of calls that timed out on a connection that had carried a reply before.
     [[nodiscard]] std::uint64_t timed_out_calls() const noexcept;
 
   private:
@@ -45,15 +44,19 @@
     std::unique_ptr<peers> peers_;
 };
 
-/// @brief Prepares a server for messages as large as a snapshot.
+/// @brief Configures a server to receive messages as large as a snapshot.
 void allow_large_messages(grpc::ServerBuilder& builder);
 
-/// @brief Receives for a driver; owned by the caller, registered with its gRPC server.
+/// @brief Creates the service that passes received messages to a driver. The caller registers it with its
+/// gRPC
+///        server.
 [[nodiscard]] std::unique_ptr<grpc::Service> make_replica_service(driver& target);
 
-/// @brief Asks a replica to take this one in.
-/// @param address where to ask; replaced by the leader's address where the answer names one
-/// @return whether it was accepted
+/// @brief Requests to be added to a group.
+/// @param address the replica to ask; set to the leader's address if the reply rejects the request and names
+///        one
+/// @param joining the member to add
+/// @return whether the request was accepted
 [[nodiscard]] bool request_join(std::string& address, const member& joining);
 
 } // namespace plumspoke::replica
--- a/include/plumspoke/replica/join_requests.hpp
+++ b/include/plumspoke/replica/join_requests.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief Who has asked to be taken into a group. No I/O, no lock.
+/// @brief Pending requests to join a group. Performs no I/O and takes no lock.
 
 #include "plumspoke/replica/message.hpp"
 #include "plumspoke/time/time.hpp"
@@ -11,15 +11,16 @@
 namespace plumspoke::replica
 {
 
-/// @brief Requests that have not been granted yet. One change of membership is made at a time, so a request
-///        may have to wait for the change before it.
+/// @brief Join requests that have not been granted yet. Because membership changes are made one at a time, a
+///        request may have to wait for earlier ones.
 class join_requests
 {
   public:
-    /// @brief Adds a request, or renews it. An earlier one of the same VM, with another disk, is dropped.
+    /// @brief Adds or renews a request. An earlier request of the same VM with another disk is dropped.
     void add(const member& joining, time_point now);
 
-    /// @brief Requests of disks that are not members, oldest first. Others, and expired ones, are dropped.
+    /// @brief Returns the requesting disks that are not members, oldest first. Other and expired requests are
+    ///        dropped.
     [[nodiscard]] std::vector<member> pending(time_point now, const membership& present);
 
   private:
--- a/include/plumspoke/replica/membership_change.hpp
+++ b/include/plumspoke/replica/membership_change.hpp
@@ -1,7 +1,8 @@
 #pragma once
 
 /// @file
-/// @brief A leader's rule for changing its group: one member a step, and never fewer copies on the way.
+/// @brief How a leader changes its group: one member per step, without ever lowering the number of copies of
+///        the log.
 
 #include "plumspoke/replica/node.hpp"
 
@@ -11,13 +12,13 @@
 namespace plumspoke::replica
 {
 
-/// @brief The one step that a leader's membership should take next, if any: promote a learner that has
-///        all that is committed, remove the disk that it replaces, or take a joining member in.
-/// @param leader the node whose membership it is; must lead, with no change pending
-/// @param joining who has asked to be taken in
-/// @param now the steady clock
-/// @param options the wanted number of voters, and the silences after which a member counts as gone
-/// @return the whole membership after the step; nothing where none is due
+/// @brief The next membership change, if any: promote a learner that has caught up, remove the disk that it
+///        replaces, or add a joining member as a learner.
+/// @param leader the node whose membership is changed; must be the leader, with no change pending
+/// @param joining members that have requested to join
+/// @param now time of the steady clock
+/// @param options the target number of voters, and the timeouts after which a member counts as unresponsive
+/// @return the complete membership after the change; nullopt if no change is due
 [[nodiscard]] std::optional<membership> next_membership(const node& leader,
                                                         std::span<const member> joining,
                                                         time_point now,
--- a/include/plumspoke/replica/message.hpp
+++ b/include/plumspoke/replica/message.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief The replicated log's records and the messages between replicas, as plain values.
+/// @brief Log entries, snapshots and the messages between replicas, as plain value types.
 
 #include <cstdint>
 #include <string>
@@ -15,8 +15,8 @@
 using term_number = std::uint64_t;
 using member_id = std::string;
 
-/// @brief A replica as the membership knows it.
-/// @note `id` belongs to one disk: an empty disk gets a new id and never votes under an old one.
+/// @brief One replica in a membership.
+/// @note `id` identifies a disk: an empty disk gets a new id, so that it never votes as the disk it replaces.
 struct member
 {
     member_id id;
@@ -27,7 +27,7 @@
     bool operator==(const member&) const = default;
 };
 
-/// @brief All members at one point of the log.
+/// @brief The members of a group, as of one log index.
 struct membership
 {
     std::vector<member> members;
@@ -47,19 +47,19 @@
     membership = 2,
 };
 
-/// @brief One record of the log.
+/// @brief One entry of the replicated log.
 struct log_entry
 {
     log_index index = 0;
     term_number term = 0;
     entry_kind kind = entry_kind::no_op;
     std::string data;
-    membership members; // where kind is membership
+    membership members; // only if kind is membership
 
     bool operator==(const log_entry&) const = default;
 };
 
-/// @brief What a vote depends on; synced before a vote is given.
+/// @brief Raft's persistent term and vote; synced before a vote is sent.
 struct hard_state
 {
     term_number term = 0;
@@ -68,7 +68,7 @@
     bool operator==(const hard_state&) const = default;
 };
 
-/// @brief The state up to `index`, with the membership in force there.
+/// @brief The state after applying all entries up to `index`, and the membership in force there.
 struct snapshot
 {
     log_index index = 0;
--- a/include/plumspoke/replica/node.hpp
+++ b/include/plumspoke/replica/node.hpp
@@ -1,7 +1,9 @@
 #pragma once
 
 /// @file
-/// @brief One replica's decisions: election, replication, membership. No I/O, no clock, no lock.
+/// @brief The Raft state machine of one replica: election, replication and membership changes.
+///
+/// Performs no I/O, reads no clock and takes no lock: the caller passes the time to each event.
 ///
 /// The consensus follows Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm"
 /// (2014), with pre-vote, check-quorum and leader leases from Ongaro's dissertation (sections 9.6, 6.2
@@ -25,33 +27,33 @@
     leader,
 };
 
-/// @brief Times of the election. The lease holds for `election_timeout` less `drift_margin`.
+/// @brief Timeouts and size limits. The leader's lease lasts `election_timeout` minus `drift_margin`.
 struct node_options
 {
     duration election_timeout = milliseconds(600);
     duration heartbeat_interval = milliseconds(150);
     duration drift_margin = milliseconds(120);
-    duration snapshot_resend_interval = seconds(1);     // while no answer to it has come
-    duration log_retention_after_snapshot = seconds(4); // for which the log after a sent snapshot is kept
-    // The log that is kept for members that are catching up, beyond what a snapshot holds.
+    duration snapshot_resend_interval = seconds(1);     // until the member acknowledges the snapshot
+    duration log_retention_after_snapshot = seconds(4); // how long the entries after a sent snapshot are kept
+    // Limits of the entries that are kept for members that are catching up although a snapshot covers them.
     std::size_t max_retained_entries = 4000;
     std::size_t max_retained_bytes = 8U << 20U;
     std::size_t max_entries_per_append = 512;
-    std::size_t max_bytes_per_append = 128U << 10U; // some 0.1 s between two busy machines
-    // Voters that the group wants; further members stand by as learners. 0: every member votes.
+    std::size_t max_bytes_per_append = 128U << 10U; // takes about 0.1 s between two busy machines
+    // Further members stay learners. 0: every member becomes a voter.
     std::size_t target_voter_count = 0;
-    // A voter that is silent for so long gives its place to a learner that stands by. Longer than any
-    // restart; the platform calls a machine lost until four seconds after its return.
+    // An unresponsive voter is replaced by a learner after this time. It has to exceed any restart; the
+    // platform reports a machine as lost until four seconds after its return.
     duration voter_replacement_timeout = seconds(4);
 };
 
-/// @brief What the shell has to do, in this order: persist and sync, then send, then apply.
+/// @brief Work for the driver, in this order: persist and sync, then send, then apply.
 struct node_output
 {
     std::optional<hard_state> hard;
-    log_index truncate_from = 0; // 0: nothing is removed
+    log_index truncate_from = 0; // 0: no truncation
     std::vector<log_entry> entries;
-    std::optional<snapshot> installed; // replaces log and state
+    std::optional<snapshot> installed; // replaces the log and the state
     std::vector<message> messages;
     std::vector<log_entry> committed;
 
@@ -61,41 +63,41 @@
     }
 };
 
-/// @brief Why a replica leads no more.
+/// @brief Why a leader stepped down.
 enum class step_down_reason : std::uint8_t
 {
-    lease_not_renewed, // no quorum has acknowledged for an election timeout
-    higher_term,       // another member has begun one
-    resigned,          // a planned stop
+    lease_not_renewed, // no quorum acknowledged within an election timeout
+    higher_term,       // a message carried a higher term
+    resigned,          // planned shutdown
     disk_failed,
 };
 
-/// @brief The name of a reason, for log lines.
+/// @brief Returns the name of a reason, as written in log lines.
 [[nodiscard]] std::string_view to_string(step_down_reason value) noexcept;
 
-/// @brief The last term that a replica led, and how it ended; for log lines, decides nothing.
+/// @brief The last term that a replica led, and how it ended. Only used in log lines.
 struct leadership_record
 {
-    term_number term = 0; // 0: none yet
+    term_number term = 0; // 0: has not led yet
     step_down_reason reason = step_down_reason::resigned;
     time_point ended_at{};
     duration length{};
-    duration since_quorum_ack{};  // from the sending of the newest message that a quorum has acknowledged
-    duration longest_event_gap{}; // of this replica's own events while it led
-    term_number higher_term = 0;  // the higher one
-    member_id higher_term_sender; // whoever spoke of the higher one
+    duration since_quorum_ack{};  // since the newest message that a quorum acknowledged was sent
+    duration longest_event_gap{}; // between two events of this replica while it led
+    term_number higher_term = 0;  // 0: it did not step down for a higher term
+    member_id higher_term_sender; // sender of the message with the higher term
 };
 
-/// @brief Why a replica last stood for election; for log lines, decides nothing.
+/// @brief Circumstances of the replica's last candidacy. Only used in log lines.
 struct candidacy
 {
-    std::uint64_t number = 0;        // rises with each; 0: none yet
-    member_id last_leader;           // empty: none was known
-    duration since_leader_contact{}; // from the leader's last message, or from the start
-    duration longest_event_gap{};    // of this replica's own events since then
+    std::uint64_t number = 0;        // incremented with each candidacy; 0: none yet
+    member_id last_leader;           // empty: no leader was known
+    duration since_leader_contact{}; // since the leader's last message, or since the start
+    duration longest_event_gap{};    // between two events of this replica since then
 };
 
-/// @brief What a replica finds on its disk when it starts.
+/// @brief The state that a replica reads from its disk at start.
 struct restored_state
 {
     hard_state hard;
@@ -103,20 +105,20 @@
     std::vector<log_entry> entries;
 };
 
-/// @brief The replica's state machine of consensus.
-/// @note Call take_output after each event, do what it says, then call persisted.
+/// @brief One Raft participant.
+/// @note After each event, call take_output, carry out the returned work, then call persisted.
 class node
 {
   public:
     /// @name construction
     /// @{
 
-    /// @param id this disk's identity
-    /// @param options times and sizes
-    /// @param restored what the disk holds
-    /// @param now the time of the start; a vote is withheld for one election timeout from here,
-    ///        because a restarted replica has forgotten whom it heard from
-    /// @param seed spreads election timeouts; the same seed gives the same run
+    /// @param id identity of the replica's disk
+    /// @param options timeouts and size limits
+    /// @param restored state read from the disk
+    /// @param now the start time; no vote is granted within one election timeout of it, because a
+    ///        restarted replica does not know when it last heard from a leader
+    /// @param seed randomizes election timeouts; runs with the same seed are identical
     node(member_id id, node_options options, restored_state restored, time_point now, std::uint64_t seed);
     /// @}
 
@@ -125,23 +127,24 @@
     void tick(time_point now);
     void receive(time_point now, const message& received);
 
-    /// @brief Appends commands on a leader.
-    /// @return the index of the first one, or nothing where this is not the leader
+    /// @brief Appends commands to the leader's log.
+    /// @return the index of the first command, or nullopt if this replica is not the leader
     std::optional<log_index> propose(time_point now, std::span<const std::string> commands);
 
-    /// @brief Starts a change of membership by one member.
-    /// @return false where this is not the leader, or another change is under way
+    /// @brief Starts a membership change by one member.
+    /// @return false if this replica is not the leader, or another change is not committed yet
     bool propose_membership(time_point now, const membership& changed);
 
-    /// @brief Says that the last output's persist part is synced.
+    /// @brief Reports that the records of the last output are synced to disk.
     void persisted(time_point now);
 
-    /// @brief Drops the log up to a snapshot that the shell has synced, but for what members are catching up
-    /// with.
-    /// @complexity Linear in the entries that are dropped or retained.
+    /// @brief Removes the log entries that a snapshot covers, except those that members which are catching up
+    ///        still need.
+    /// @param index last index of the snapshot
+    /// @complexity Linear in the number of removed and retained entries.
     void compact(log_index index);
 
-    /// @brief Steps down, for a planned stop.
+    /// @brief Steps down if this replica is the leader.
     void step_down(time_point now, step_down_reason reason = step_down_reason::resigned);
     /// @}
 
@@ -179,26 +182,28 @@
     }
     [[nodiscard]] std::optional<term_number> term_at(log_index index) const noexcept;
 
-    /// @brief Whether this leader may act without asking: a quorum has heard it recently enough that
-    ///        no other can have been elected, and it has committed an entry of its own term.
+    /// @brief Whether this leader may serve reads and decide without a round trip: a quorum acknowledged it
+    ///        recently enough that no other leader can have been elected, and it has committed an entry of
+    ///        its own term.
     [[nodiscard]] bool holds_lease(time_point now) const noexcept;
 
-    /// @brief When the lease ends unless a quorum answers again.
+    /// @brief When the lease expires unless a quorum acknowledges again.
     [[nodiscard]] time_point lease_end() const noexcept;
 
-    /// @brief The highest index known to be on a member's disk; leaders only.
+    /// @brief The highest index known to be persisted by a member; leaders only.
     [[nodiscard]] log_index match_index(const member_id& id) const noexcept;
 
-    /// @brief When a member last answered this leader.
+    /// @brief When this leader last received a reply from a member.
     [[nodiscard]] std::optional<time_point> last_reply_time(const member_id& id) const noexcept;
 
-    /// @brief The membership in force at an index of the log, or at its base.
+    /// @brief The membership in force at a log index that is not below the base of the log.
     [[nodiscard]] const membership& members_at(log_index index) const noexcept;
 
-    /// @brief What the log holds after an index, which isn't below its base.
+    /// @brief The log entries after an index that is not below the base of the log.
     [[nodiscard]] std::span<const log_entry> entries_after(log_index index) const noexcept;
 
-    /// @brief Whether this leader has committed an entry of its own term, and so knows all that is committed.
+    /// @brief Whether this leader has committed an entry of its own term. Only then it knows all committed
+    ///        entries.
     [[nodiscard]] bool term_committed() const noexcept
     {
         return role_ == role::leader && commit_index_ >= term_start_index_;
@@ -207,13 +212,14 @@
     {
         return leader_since_;
     }
-    /// @brief The first entry of this leader's own term: once it is applied, all that was committed is.
+    /// @brief Index of the first entry of this leader's term; once it is applied, so are all entries that
+    ///        earlier leaders committed.
     [[nodiscard]] log_index term_start_index() const noexcept
     {
         return term_start_index_;
     }
 
-    /// @brief The last term that this replica led and leads no more.
+    /// @brief The last term that this replica led, after it has stepped down.
     [[nodiscard]] const leadership_record& last_leadership() const noexcept
     {
         return last_leadership_;
@@ -223,10 +229,11 @@
         return last_candidacy_;
     }
 
-    /// @brief The snapshot that a leader sends to a member that lags behind its log.
+    /// @brief Sets the snapshot that a leader sends to members that need entries it has compacted.
     void set_snapshot(snapshot latest);
 
-    /// @brief A newer snapshot is being saved: until it is set, members that need one get no older one.
+    /// @brief While pending, members get no snapshot, because a newer one is about to be saved. Cleared by
+    ///        set_snapshot.
     void set_snapshot_pending(bool pending) noexcept
     {
         snapshot_pending_ = pending;
@@ -239,23 +246,22 @@
     /// @}
 
   private:
-    /// @brief What a leader knows of one member.
+    /// @brief The leader's replication state of one member.
     struct progress
     {
         log_index match = 0;
         log_index next = 1;
-        bool probing = true;           // one append at a time until it answers
-        bool append_in_flight = false; // an answer is due before more is sent in probing
-        time_point append_sent_at{};   // resend after a heartbeat interval
-        log_index snapshot_sent = 0;   // the last snapshot that was sent to it; 0: none
+        bool probing = true;           // send one append at a time until one succeeds
+        bool append_in_flight = false; // while probing: wait for the reply before sending more
+        time_point append_sent_at{};   // resent after a heartbeat interval
+        log_index snapshot_sent = 0;   // index of the last snapshot sent; 0: none
         time_point snapshot_sent_time{};
-        log_index first_unacknowledged_snapshot =
-            0;                             // the first one that was sent since its last answer to one
-        time_point acknowledged_sent_at{}; // when the last answered message was sent, by this clock
+        log_index first_unacknowledged_snapshot = 0; // first index sent since an acknowledged one
+        time_point acknowledged_sent_at{}; // send time of the newest acknowledged message, by this clock
         time_point last_reply_at{};
         bool has_replied = false;
 
-        /// @brief Whether a snapshot is under way after which the log goes on.
+        /// @brief Whether a snapshot is in flight that the retained log continues.
         [[nodiscard]] bool
         is_snapshot_in_flight(time_point now, log_index base, duration resend) const noexcept
         {
@@ -267,7 +273,7 @@
             return has_replied && now < last_reply_at + options.election_timeout;
         }
 
-        /// @brief Whether it is likely to ask for the log after what it has, or will have.
+        /// @brief Whether the member is likely to request entries after its match index or its snapshot.
         [[nodiscard]] bool is_catching_up(time_point now, const node_options& options) const noexcept
         {
             const bool gets_snapshot = first_unacknowledged_snapshot > match &&
@@ -329,28 +335,28 @@
     time_point last_event_at_{};
     time_point next_heartbeat_{};
     time_point leader_since_{};
-    time_point actual_leader_contact_at_{}; // as leader_contact_at_, but never put forward
-    duration longest_event_gap_{}; // of own events since the leader was heard, or since the own term began
+    time_point actual_leader_contact_at_{}; // unlike leader_contact_at_, not reset after a pause
+    duration longest_event_gap_{}; // since the last leader contact, or since this leader's term began
     leadership_record last_leadership_;
     candidacy last_candidacy_;
 
-    log_index base_index_ = 0; // the last index that is only in the snapshot
+    log_index base_index_ = 0; // last compacted index
     term_number base_term_ = 0;
     membership base_members_;
     std::vector<log_entry> log_;
     snapshot latest_snapshot_;
     bool snapshot_pending_ = false;
     log_index commit_index_ = 0;
-    log_index delivered_index_ = 0; // handed out as committed
+    log_index delivered_index_ = 0; // last index returned as committed
     log_index persisted_index_ = 0;
-    log_index unpersisted_from_ = 0; // first entry not yet handed out to persist; 0: none
+    log_index unpersisted_from_ = 0; // first entry not yet returned for persisting; 0: none
     log_index pending_truncate_ = 0;
     std::optional<snapshot> pending_install_;
     bool output_taken_ = false;
     log_index output_last_index_ = 0;
     membership members_;
     log_index members_index_ = 0;
-    log_index term_start_index_ = 0; // this leader's first own entry
+    log_index term_start_index_ = 0; // first entry of this leader's term
     std::map<member_id, progress> peers_;
     std::vector<message> messages_;
 };
--- a/include/plumspoke/replica/snapshot_queue.hpp
+++ b/include/plumspoke/replica/snapshot_queue.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief Which snapshot goes to an address next. No I/O, no lock.
+/// @brief Selects the next snapshot to send to an address. Performs no I/O and takes no lock.
 
 #include "plumspoke/replica/message.hpp"
 
@@ -10,21 +10,22 @@
 namespace plumspoke::replica
 {
 
-/// @brief Snapshots to one address: at most one is on its way, and the newest of the others waits.
-/// @note An address has one disk, and so one member, at a time: a snapshot for another member replaces what
-///       waits and what is on its way.
+/// @brief Snapshots to one address: at most one is in flight, and only the newest other one is pending.
+/// @note An address has one disk, and therefore one member, at a time: a snapshot for another member replaces
+///       the pending one and the one in flight.
 class snapshot_queue
 {
   public:
-    /// @brief Queues a snapshot in place of the one that waits.
-    /// @param sent its body is `install_snapshot`
-    /// @return whether what is on its way is for another member, and is to be cancelled
+    /// @brief Replaces the pending snapshot.
+    /// @param sent a message whose body is `install_snapshot`
+    /// @return whether the snapshot in flight is for another member and has to be cancelled
     bool push(message sent);
 
-    /// @brief The snapshot that is to be sent now; it is on its way until `finish`.
+    /// @brief Returns the pending snapshot, which is in flight from then on until `finish`.
     [[nodiscard]] std::optional<message> pop();
 
-    /// @param delivered whether it has arrived: then a repeat of it that waits is dropped
+    /// @brief Ends the transfer of the snapshot in flight.
+    /// @param delivered whether it arrived; if so, a pending repetition of it is dropped
     void finish(bool delivered);
 
     [[nodiscard]] bool has_pending() const noexcept
@@ -33,7 +34,7 @@
     }
 
   private:
-    /// @brief What tells two snapshots apart.
+    /// @brief Identifies a snapshot.
     struct snapshot_key
     {
         member_id to;
--- a/include/plumspoke/replica/storage.hpp
+++ b/include/plumspoke/replica/storage.hpp
@@ -1,11 +1,11 @@
 #pragma once
 
 /// @file
-/// @brief The data folder: identity, log and snapshots. All that is acknowledged was synced first.
+/// @brief The data folder: identity, log and snapshots. Records are synced before they are acknowledged.
 ///
-/// Layout: `lock`, `identity`, `log-<sequence>`, `snapshot-<index>`. Each file is a row of frames:
-/// length, CRC-32C of the payload, CRC-32C of these two, payload (a protobuf message). One frame is one
-/// sync, so that a write torn by a crash is always the last frame.
+/// Layout: `lock`, `identity`, `log-<sequence>`, `snapshot-<index>`. Each file is a sequence of frames:
+/// payload length, CRC-32C of the payload, CRC-32C of these two fields, payload (a protobuf message). The
+/// file is synced after each frame, so only the last frame can be torn by a crash.
 
 #include "plumspoke/replica/error.hpp"
 #include "plumspoke/replica/node.hpp"
@@ -17,17 +17,17 @@
 namespace plumspoke::replica
 {
 
-/// @brief The calls that change the disk; tests put failing ones in their place.
+/// @brief The system calls that write to the disk; tests substitute failing ones.
 struct disk_operations
 {
     ssize_t (*write)(int file, const void* bytes, std::size_t count);
     int (*sync)(int file);
 };
 
-/// @brief The operating system's own calls.
+/// @brief Returns the operating system's calls.
 [[nodiscard]] disk_operations system_disk() noexcept;
 
-/// @brief A file descriptor that closes itself.
+/// @brief Owns a file descriptor and closes it on destruction.
 class file_handle
 {
   public:
@@ -54,7 +54,7 @@
     int descriptor_ = -1;
 };
 
-/// @brief One replica's data folder, held under a lock.
+/// @brief One replica's data folder, protected by a file lock.
 class storage
 {
   public:
@@ -62,30 +62,30 @@
     /// @{
     explicit storage(std::filesystem::path folder, disk_operations disk = system_disk());
 
-    /// @brief Writes the identity of a first member together with the first membership.
-    /// @return already_initialized where the folder has an identity
+    /// @brief Writes the identity of a founding member and the initial membership.
+    /// @return already_initialized if the folder has an identity
     [[nodiscard]] std::error_code initialize(const member_id& id, const membership& members);
 
-    /// @brief Takes the lock and reads what is there.
-    /// @return folder_in_use, no_identity, log_damaged, snapshot_damaged, disk_read_failed
-    /// @note A torn last frame is cut off: it was never acknowledged. Damage with valid frames behind it
-    ///       is refused and nothing is changed.
+    /// @brief Acquires the lock and reads identity, snapshot and log.
+    /// @return folder_in_use, no_identity, log_damaged, snapshot_damaged, disk_read_failed, disk_write_failed
+    /// @note A torn last frame was never acknowledged and is truncated. If valid frames follow a damaged one,
+    ///       the folder is rejected and left unchanged.
     [[nodiscard]] std::error_code open(restored_state& restored);
 
-    /// @brief Gives an empty folder the identity of a joining learner.
+    /// @brief Writes the identity into a folder that has none.
     [[nodiscard]] std::error_code write_identity(const member_id& id);
     /// @}
 
     /// @name modifiers
     /// @{
 
-    /// @brief Writes and syncs the persist part of an output.
-    /// @return disk_write_failed; the replica must stop then, since the disk's state is not known;
-    ///         disk_full: the disk holds what it held before, and the same may be tried again
+    /// @brief Writes and syncs the records of an output.
+    /// @return disk_write_failed: the content of the disk is unknown, so the replica must stop;
+    ///         disk_full: the disk is unchanged, and the call may be repeated
     [[nodiscard]] std::error_code persist(const node_output& output);
 
-    /// @brief Writes a snapshot and starts a new log file that holds only what comes after it.
-    /// @return as persist; after disk_full the old log goes on
+    /// @brief Writes a snapshot and starts a new log file that holds only the entries after it.
+    /// @return as persist; after disk_full the old log file stays in use
     [[nodiscard]] std::error_code
     save_snapshot(const snapshot& state, const hard_state& hard, std::span<const log_entry> rest);
     /// @}
--- a/src/replica/codec.cpp
+++ b/src/replica/codec.cpp
@@ -6,7 +6,7 @@
 namespace
 {
 
-/// @brief Writes each kind of body into its field.
+/// @brief Writes a message body into the corresponding field.
 struct body_writer
 {
     wire::ReplicaMessage& out;
--- a/src/replica/driver.cpp
+++ b/src/replica/driver.cpp
@@ -21,7 +21,7 @@
 
 constexpr auto tick_interval = milliseconds(20);
 constexpr std::size_t max_inbox = 4096;
-constexpr auto disk_full_retry_interval = milliseconds(50); // of a full disk: room may come back at any time
+constexpr auto disk_full_retry_interval = milliseconds(50); // space may be freed at any time
 constexpr const char* log_component = "replica";
 constexpr std::uint64_t nanoseconds_per_microsecond = 1000;
 
@@ -43,7 +43,7 @@
     return id.str();
 }
 
-/// @brief What is left of a pass's wait for the state.
+/// @brief Time left until a deadline, at least zero.
 duration remaining_until(time_point until)
 {
     return std::max(duration::zero(),
@@ -52,15 +52,15 @@
 
 } // namespace
 
-std::size_t jittered_snapshot_interval(std::string_view id, std::size_t set) noexcept
+std::size_t jittered_snapshot_interval(std::string_view id, std::size_t configured) noexcept
 {
-    // FNV-1a (Fowler, Noll, Vo), 64 bit: the same on each start and build, which std::hash doesn't promise.
+    // 64-bit FNV-1a (Fowler, Noll, Vo): unlike std::hash, it is the same in every run and build.
     std::uint64_t hash = 0xcbf29ce484222325U;
     for (const char one : id)
     {
         hash = (hash ^ static_cast<unsigned char>(one)) * 0x100000001b3U;
     }
-    return set - static_cast<std::size_t>(hash % (set / 2 + 1));
+    return configured - static_cast<std::size_t>(hash % (configured / 2 + 1));
 }
 
 // ---- construction ------------------------------------------------------------------------------
@@ -83,7 +83,7 @@
     {
         failed = storage_.write_identity(new_identity(name));
         PLUMSPOKE_LOG(INFO, log_component)
-            << "The data folder is empty. Joining as " << storage_.identity() << ".";
+            << "The data folder has no identity. Joining as " << storage_.identity() << ".";
     }
     if (failed)
     {
@@ -151,7 +151,7 @@
 {
     if (const std::error_code refused = enqueue(command, done); refused)
     {
-        done({refused, {}}); // it was not moved from
+        done({refused, {}}); // enqueue does not move from it on errors
         return;
     }
     wake_.notify_one();
@@ -183,7 +183,7 @@
         }
         if (inbox_.size() >= max_inbox)
         {
-            return; // as if lost on the way; the sender repeats it
+            return; // treated as lost by the network; the sender repeats it
         }
         inbox_.push_back(std::move(received));
     }
@@ -244,7 +244,7 @@
                    tick_interval,
                    [this]
                    {
-                       // Applying has a bounded wait of its own, so there is no pause before it.
+                       // Applying has its own bounded wait, so there is no need to wait here.
                        return stopping_ || !inbox_.empty() || !queued_proposals_.empty() ||
                               !is_apply_queue_empty();
                    });
@@ -293,7 +293,7 @@
 
 bool driver::process_output(time_point now)
 {
-    // Twice at most: what a sync completes on a single replica is committed in the second round.
+    // A group of one commits in the second round what the sync of the first round completes.
     for (int round = 0; round < 2; ++round)
     {
         node_output output = node_->take_output();
@@ -302,7 +302,8 @@
             const time_point started_at = std::chrono::steady_clock::now();
             if (const std::error_code failed = persist(now, output); failed)
             {
-                PLUMSPOKE_LOG(ERROR, log_component) << "The disk failed. Stopping. " << failed.message();
+                PLUMSPOKE_LOG(ERROR, log_component)
+                    << "Writing to the disk failed. Stopping. " << failed.message();
                 publish_disk_failure(now, failed);
                 return false;
             }
@@ -324,7 +325,7 @@
     fail_lost_proposals();
     if (const std::error_code failed = take_snapshot_if_due(until); failed)
     {
-        PLUMSPOKE_LOG(ERROR, log_component) << "A snapshot failed. Stopping. " << failed.message();
+        PLUMSPOKE_LOG(ERROR, log_component) << "Saving a snapshot failed. Stopping. " << failed.message();
         const std::lock_guard lock(mutex_);
         status_.failure = failed;
         stopping_ = true;
@@ -341,15 +342,15 @@
         const auto elapsed =
             std::chrono::duration_cast<duration>(std::chrono::steady_clock::now() - started_at);
         logging::write(
-            logging::event(log_component, "snapshot_persisted", "The leader's snapshot is on the disk.")
+            logging::event(log_component, "snapshot_persisted", "Persisted a snapshot from the leader.")
                 .with("index", static_cast<std::int64_t>(output.installed->index))
                 .with("took_ms", to_ms(elapsed)));
     }
 }
 
-// A full disk is borne: as long as nothing is written nothing is acknowledged, sent or led, as by a VM that
-// stands still. A process that ended would have to read the whole state again, and would end again until
-// there is room.
+// Retries while the disk is full: until the records are written, the replica acknowledges, sends and leads
+// nothing, like a suspended VM. A restarted process would have to read the whole state, only to find the disk
+// full again.
 std::error_code driver::persist(time_point now, const node_output& output)
 {
     std::error_code failed = storage_.persist(output);
@@ -357,7 +358,7 @@
     {
         return failed;
     }
-    logging::write(logging::event(log_component, "disk_full", "The disk takes no more. Waiting for room."));
+    logging::write(logging::event(log_component, "disk_full", "The disk is full. Waiting for free space."));
     {
         const std::lock_guard lock(mutex_);
         publish_step_down(now, step_down_reason::disk_failed);
@@ -367,18 +368,21 @@
         std::this_thread::sleep_for(disk_full_retry_interval);
         failed = storage_.persist(output);
     }
-    // It was said that this replica leads no more; whoever decides has begun anew. To lead on in the same
-    // term would settle what was handed in before as if it had been handed in since.
+    // The published status says that this replica stepped down, and the leader's loop has discarded its
+    // state. Leading on in the same term would match answers to earlier proposals with later ones.
     node_->step_down(std::chrono::steady_clock::now(), step_down_reason::disk_failed);
     const duration waited = std::chrono::duration_cast<duration>(std::chrono::steady_clock::now() - now);
     logging::write(
-        logging::event(log_component, "disk_again", "The disk takes records again, or the replica stops.")
+        logging::event(
+            log_component,
+            "disk_again",
+            "Stopped waiting for free space: the disk is writable again, or the replica is stopping.")
             .with("waited_ms", to_ms(waited))
             .with("error", failed ? failed.message() : ""));
     return failed;
 }
 
-// The lock is held.
+// Requires mutex_ to be held.
 void driver::publish_step_down(time_point now, step_down_reason reason)
 {
     if (status_.is_leader())
@@ -410,7 +414,9 @@
     }
     candidacies_logged_ = last.number;
     logging::write(
-        logging::event(log_component, "election", "Stands for election, since no leader was heard.")
+        logging::event(log_component,
+                       "election",
+                       "Starting an election: no message from a leader within the election timeout.")
             .with("term", static_cast<std::int64_t>(node_->term()))
             .with("last_leader", last.last_leader)
             .with("since_heard_ms", to_ms(last.since_leader_contact))
@@ -432,7 +438,7 @@
 {
     if (output.installed.has_value())
     {
-        apply_queue_.clear(); // the snapshot holds them, and what follows is newer
+        apply_queue_.clear(); // the snapshot covers these entries
         fail_proposals_after(0);
         snapshots_.on_saved(output.installed->index);
         snapshot_to_install_ = std::move(output.installed);
@@ -460,7 +466,7 @@
         apply_queue_.pop_front();
         if (std::chrono::steady_clock::now() >= until)
         {
-            return; // many quick entries hold heartbeats up too
+            return; // many short entries delay heartbeats, too
         }
     }
 }
@@ -476,7 +482,7 @@
         return false;
     }
     applied_index_ = snapshot_to_install_->index;
-    logging::write(logging::event(log_component, "snapshot_taken", "Took a snapshot from the leader.")
+    logging::write(logging::event(log_component, "snapshot_taken", "Restored a snapshot from the leader.")
                        .with("index", static_cast<std::int64_t>(applied_index_))
                        .with("bytes", static_cast<std::int64_t>(snapshot_to_install_->data.size())));
     snapshot_to_install_.reset();
@@ -523,7 +529,7 @@
     {
         return;
     }
-    // What is queued is committed, and answered once it is applied.
+    // Queued entries are committed; their proposals complete when the entries are applied.
     fail_proposals_after(apply_queue_.empty() ? 0 : apply_queue_.back().index);
 }
 
@@ -534,7 +540,7 @@
     {
         lost.insert(pending_proposals_.extract(at++));
     }
-    // Whether they end up committed is the next leader's to say, so the answer is honest: not known.
+    // Whether these entries are committed depends on the next leader, so the outcome is reported as unknown.
     for (auto& [index, proposal] : lost)
     {
         proposal.done({errc::lost_leadership, {}});
@@ -570,7 +576,7 @@
     std::optional<std::string> saved = machine_.try_save(remaining_until(until));
     if (!saved.has_value())
     {
-        return {}; // the state is held; due at the next pass too
+        return {}; // the state is locked; retried in the next round
     }
     snapshot state;
     state.index = applied_index_;
@@ -580,13 +586,13 @@
     state.members = node_->members_at(applied_index_);
     const std::error_code failed =
         storage_.save_snapshot(state, synced_hard_, node_->entries_after(applied_index_));
-    // What it holds is committed: others may have it, whatever this disk does.
+    // The snapshot holds committed entries only, so it may be sent even if this disk failed to store it.
     node_->set_snapshot(std::move(state));
     if (failed == errc::disk_full)
     {
         snapshots_.defer(std::chrono::steady_clock::now());
-        logging::write(
-            logging::event(log_component, "snapshot_put_off", "The disk has no room for a snapshot."));
+        logging::write(logging::event(
+            log_component, "snapshot_put_off", "The disk is too full for a snapshot. Retrying later."));
         return {};
     }
     if (failed)
@@ -618,7 +624,7 @@
             {
                 snapshots_.on_member_joined(now);
             }
-            logging::write(logging::event(log_component, "membership", "The membership changes.")
+            logging::write(logging::event(log_component, "membership", "Proposed a membership change.")
                                .with("members", static_cast<std::int64_t>(changed->members.size()))
                                .with("voters", static_cast<std::int64_t>(changed->voter_count()))
                                .with("last_member", changed->members.back().id));
@@ -650,7 +656,7 @@
     status.membership_pending = node_->membership_change_pending();
     status.lease_end = node_->lease_end();
     status.leader_since = node_->leader_since();
-    // Committed is not enough for a reader: it must be applied too.
+    // Readers need the entries to be applied, not just committed.
     status.term_committed = node_->term_committed() && applied_index_ >= node_->term_start_index();
     status.sync_count = storage_.sync_count();
     status.commit_rounds = commit_rounds_;
--- a/src/replica/grpc_transport.cpp
+++ b/src/replica/grpc_transport.cpp
@@ -23,29 +23,29 @@
 
 constexpr std::size_t max_queued_messages = 256;
 constexpr auto join_timeout = milliseconds(500);
-// A call takes about 2 ms. A heartbeat (each 150 ms) and its answer may both meet a silent connection, and
-// must come through on new ones within the shortest leader's lease (600 ms).
+// A call usually takes about 2 ms. A heartbeat (every 150 ms) and its reply may both hit an unresponsive
+// connection, and have to succeed on new ones within the shortest lease of a leader (600 ms).
 constexpr auto min_call_timeout = milliseconds(150);
 constexpr auto max_call_timeout = milliseconds(500);
-constexpr int timeout_factor = 4; // the timeout of a slow peer is so many times its last answer's time
-// What two busy machines with a third of a processor each were seen to pass on: 1.2 MB in 1.35 s.
+constexpr int timeout_factor = 4; // timeout of a peer, in multiples of its last call's duration
+// Two busy machines with a third of a processor each transfer 1.2 MB in 1.35 s.
 constexpr std::size_t min_bytes_per_ms = 1000;
-// A call carries no more: what waits behind it are heartbeats, and a call that grows with each try that
-// failed never keeps its limit.
+// Heartbeats queue behind a batch, and a batch that grows with each failed attempt would never meet its
+// deadline.
 constexpr std::size_t max_batch_bytes = 128 * 1024;
-// A snapshot has a connection of its own, where nothing waits behind it. Its limit is one that it keeps at
-// any size: both ends may have a third of a processor each, and be busy otherwise.
+// Nothing queues behind a snapshot, which has a separate connection. Its deadline grows with its size, so
+// that it is met even if both ends are busy and have a third of a processor each.
 constexpr auto snapshot_call_timeout = milliseconds(2000);
 constexpr std::size_t min_snapshot_bytes_per_ms = 500;
 constexpr int max_message_bytes = 256 << 20;
-// What a sender may have under way on a call. With the library's 64 KB each stretch waits until both ends
-// have had their turn on a busy processor: some 50 ms, which comes to 1 MB/s.
+// Flow-control window of a stream. With the library's default of 64 KB, each window waits until both ends
+// were scheduled on a busy processor, about 50 ms, which limits a transfer to 1 MB/s.
 constexpr int stream_lookahead_bytes = 8 << 20;
 
-// For batches: short, so that a VM that returns is reached soon.
+// For batches: short, so that a restarted VM is reached soon.
 constexpr auto connect_timeout = milliseconds(100);
-// For snapshots: both ends may be so busy that a connection takes longer. With 100 ms none of six tries
-// within 5 s was more than an attempt to connect.
+// For snapshots: connecting takes longer if both ends are busy. With 100 ms, none of six attempts within 5 s
+// got as far as a connection.
 constexpr auto snapshot_connect_timeout = milliseconds(2000);
 
 std::shared_ptr<grpc::Channel> make_channel(const std::string& address, milliseconds limit = connect_timeout)
@@ -55,21 +55,21 @@
     arguments.SetInt(GRPC_ARG_MIN_RECONNECT_BACKOFF_MS, static_cast<int>(limit.count()));
     arguments.SetInt(GRPC_ARG_INITIAL_RECONNECT_BACKOFF_MS, 100);
     arguments.SetInt(GRPC_ARG_MAX_RECONNECT_BACKOFF_MS, 500);
-    // Without this a new channel would take over the old one's connection, which may hang.
+    // Otherwise a new channel would reuse the connection of the old one, which may be unresponsive.
     arguments.SetInt(GRPC_ARG_USE_LOCAL_SUBCHANNEL_POOL, 1);
     return grpc::CreateCustomChannel(address, grpc::InsecureChannelCredentials(), arguments);
 }
 
 } // namespace
 
-/// @brief What all peers count together.
+/// @brief Counters shared by all peers.
 struct grpc_transport::transport_counts
 {
     std::atomic<std::uint64_t> bytes{0};
     std::atomic<std::uint64_t> timed_out_calls{0};
 };
 
-/// @brief One address, its queue and its thread.
+/// @brief The queue and the sending thread of one address.
 class grpc_transport::peer
 {
   public:
@@ -101,7 +101,7 @@
             const std::lock_guard lock(mutex_);
             if (queue_.size() >= max_queued_messages)
             {
-                queue_.pop_front(); // the oldest is the least useful; replicas repeat what matters
+                queue_.pop_front(); // the oldest message is the least useful; nodes repeat what is needed
             }
             queue_.push_back(std::move(sent));
         }
@@ -132,7 +132,7 @@
         }
     }
 
-    /// @brief Moves what waits into a batch, as far as it fits; the lock is held.
+    /// @brief Moves queued messages into a batch, up to its maximum size. Requires mutex_ to be held.
     void add_queued(wire::ReplicaBatch& to)
     {
         std::size_t bytes = to.ByteSizeLong();
@@ -141,7 +141,7 @@
             bytes += queue_.front().ByteSizeLong();
             if (to.messages_size() > 0 && bytes > max_batch_bytes)
             {
-                return; // the rest has the next call
+                return; // the rest goes into the next call
             }
             *to.add_messages() = std::move(queue_.front());
             queue_.pop_front();
@@ -154,8 +154,8 @@
         {
             return;
         }
-        // Sent again at once, with what has come since: nodes repeat a lost message too late for a lease, and
-        // take one that arrives twice as one.
+        // Retries at once, together with messages queued since: nodes repeat a lost message too late to keep
+        // a lease, and they tolerate duplicates.
         {
             const std::lock_guard lock(mutex_);
             if (stopping_)
@@ -164,7 +164,7 @@
             }
             add_queued(sent);
         }
-        (void)try_deliver(sent); // where it fails again, the node's own repeats are left
+        (void)try_deliver(sent); // after a second failure the node repeats its messages
     }
 
     [[nodiscard]] bool try_deliver(const wire::ReplicaBatch& sent)
@@ -191,7 +191,8 @@
         {
             counts_.timed_out_calls += answered_ ? 1 : 0;
             answered_ = false;
-            // Silence may last for good on this connection while a new one works; a refusal tells of itself.
+            // An unresponsive connection may never recover while a new one works. A refused connection needs
+            // no new channel, since gRPC reports and reconnects it.
             stub_ = wire::ReplicaPeer::NewStub(make_channel(address_));
         }
         return false;
@@ -210,8 +211,8 @@
     std::thread thread_;
 };
 
-/// @brief Snapshots to one address: a connection and a thread of their own, so that no heartbeat waits behind
-///        them.
+/// @brief Sends snapshots to one address on a separate connection and thread, so that heartbeats are not
+///        delayed.
 class grpc_transport::snapshot_sender
 {
   public:
@@ -289,19 +290,18 @@
         context.set_deadline(std::chrono::system_clock::now() + snapshot_call_timeout +
                              milliseconds(bytes / min_snapshot_bytes_per_ms));
         counts_.bytes += bytes;
-        // A new connection each time: snapshots are rare, and an old one may have gone silent.
+        // Uses a new connection each time: snapshots are rare, and an old connection may be unresponsive.
         const auto stub = wire::ReplicaPeer::NewStub(make_channel(address_, snapshot_connect_timeout));
         wire::Ack ack;
         const grpc::Status status = stub->Deliver(&context, sent, &ack);
         const auto elapsed = std::chrono::steady_clock::now() - started_at;
-        logging::write(
-            logging::event("replica", "snapshot_sent", "A snapshot went to a member, or failed to.")
-                .with("to", address_)
-                .with("member", sent.messages(0).to())
-                .with("index", static_cast<std::int64_t>(what.index()))
-                .with("bytes", static_cast<std::int64_t>(bytes))
-                .with("took_ms", std::chrono::duration_cast<milliseconds>(elapsed).count())
-                .with("error", status.ok() ? "" : status.error_message()));
+        logging::write(logging::event("replica", "snapshot_sent", "Finished sending a snapshot to a member.")
+                           .with("to", address_)
+                           .with("member", sent.messages(0).to())
+                           .with("index", static_cast<std::int64_t>(what.index()))
+                           .with("bytes", static_cast<std::int64_t>(bytes))
+                           .with("took_ms", std::chrono::duration_cast<milliseconds>(elapsed).count())
+                           .with("error", status.ok() ? "" : status.error_message()));
         return status.ok();
     }
 
@@ -316,7 +316,7 @@
     std::thread thread_;
 };
 
-/// @brief All addresses that were sent to.
+/// @brief The senders of all addresses.
 class grpc_transport::peers
 {
   public:
@@ -389,7 +389,7 @@
 namespace
 {
 
-/// @brief Hands what arrives to the driver.
+/// @brief Passes received messages to the driver.
 class replica_service final : public wire::ReplicaPeer::Service
 {
   public:
@@ -406,7 +406,8 @@
             std::optional<message> received = from_wire(one);
             if (!received.has_value())
             {
-                return {grpc::StatusCode::INVALID_ARGUMENT, "a message has no body that this version knows"};
+                return {grpc::StatusCode::INVALID_ARGUMENT,
+                        "a message has no body, or one that this version does not support"};
             }
             target_.receive(std::move(*received), request->from_address());
         }
--- a/src/replica/join_requests.cpp
+++ b/src/replica/join_requests.cpp
@@ -8,8 +8,8 @@
 namespace
 {
 
-constexpr auto request_lifetime =
-    milliseconds(1500); // a process that still wants to join asks again within it
+// A joining process repeats its request within this time.
+constexpr auto request_lifetime = milliseconds(1500);
 
 } // namespace
 
--- a/src/replica/membership_change.cpp
+++ b/src/replica/membership_change.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Which learner is promoted, which lost disk is removed, and who is taken in, one step at a time.
+/// @brief Promotion of learners, removal of lost disks and addition of members, one change at a time.
 
 #include "plumspoke/replica/membership_change.hpp"
 
@@ -12,9 +12,9 @@
 namespace
 {
 
-constexpr log_index promotion_lag = 64; // entries: a tenth of a second at full load
+constexpr log_index promotion_lag = 64; // entries, 0.1 s at full load
 
-/// @brief How long a member has not answered; a leader that is young gives each the time since it began.
+/// @brief Time since a member's last reply, or since this replica became the leader if that was later.
 duration time_since_reply(const node& leader, const member& of, time_point now)
 {
     if (of.id == leader.id())
@@ -28,13 +28,13 @@
 
 bool has_caught_up(const node& leader, const member& of)
 {
-    // Under load it is always a few entries behind; it holds what was committed when it joined.
+    // Under load a learner always lags by a few entries; it has all that were committed when it joined.
     return leader.match_index(of.id) > 0 &&
            leader.match_index(of.id) + promotion_lag >= leader.commit_index();
 }
 
-/// @brief Whether a later member holds this one's name: the same VM with another disk.
-/// @note Members are in the order in which they came: what replaces a disk came after it.
+/// @brief Whether a later member has this one's name, i.e. the same VM has another disk.
+/// @note Members are ordered by when they joined, so a disk's successor comes after it.
 bool has_successor(const membership& all, const member& old, bool by_voter)
 {
     bool after = false;
@@ -49,7 +49,8 @@
     return false;
 }
 
-/// @brief A voter that is silent and whose disk is lost, or that has been silent for long.
+/// @brief Finds an unresponsive voter whose disk was replaced, or else the voter that has been unresponsive
+///        for longest, beyond the replacement timeout.
 const member* find_replaceable_voter(const node& leader, time_point now, const node_options& options)
 {
     const member* longest_silent = nullptr;
@@ -89,7 +90,7 @@
             time_since_reply(leader, learner, now) <= options.voter_replacement_timeout;
         if (!learner.voter && has_caught_up(leader, learner) && is_responsive)
         {
-            // Promoted first, and the lost disk removed after: the quorum never rests on fewer copies.
+            // The learner is promoted before the lost disk is removed, so the number of copies never drops.
             learner.voter = true;
             return changed;
         }
--- a/src/replica/node.cpp
+++ b/src/replica/node.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief A replica's node: what it holds, what it is asked, and the notes that it takes for log lines.
+/// @brief Construction, access, events and the log records of a node.
 
 #include "plumspoke/replica/node.hpp"
 
@@ -178,7 +178,8 @@
 {
     longest_event_gap_ =
         std::max(longest_event_gap_, std::chrono::duration_cast<duration>(now - last_event_at_));
-    // Frozen, or a clock that jumped: how long ago the leader was heard is not known, as after a restart.
+    // After a pause of the process or a clock jump it is unknown how long ago the leader was heard, as after
+    // a restart.
     if (role_ != role::leader && now > last_event_at_ + options_.election_timeout / 2)
     {
         leader_contact_at_ = now;
@@ -214,14 +215,14 @@
 {
     if (received.to != id_)
     {
-        return; // meant for an older disk under this address
+        return; // addressed to an earlier disk at this address
     }
     record_event_time(now);
     const bool is_pre_vote = std::holds_alternative<pre_vote>(received.body);
     const bool is_vote = std::holds_alternative<vote>(received.body);
     if ((is_pre_vote || is_vote) && has_recent_leader_contact(now))
     {
-        return; // dissertation 4.2.3: a live leader is not disturbed, and its lease stays true
+        return; // dissertation, section 4.2.3: a vote must not disrupt a live leader or invalidate its lease
     }
     const auto* answered_pre_vote = std::get_if<pre_vote_reply>(&received.body);
     const bool term_is_proposed = is_pre_vote || (answered_pre_vote != nullptr && answered_pre_vote->granted);
@@ -262,7 +263,7 @@
 {
     if (role_ != role::leader || membership_change_pending() || commit_index_ < term_start_index_)
     {
-        return false; // the second and third condition: dissertation 4.1 and its 2015 correction
+        return false; // second and third condition: dissertation, section 4.1, and its 2015 correction
     }
     log_entry entry;
     entry.kind = entry_kind::membership;
@@ -280,7 +281,7 @@
     {
         return;
     }
-    advance_commit(); // followers learn of it with the next append or heartbeat: nobody reads from them
+    advance_commit(); // followers get it with the next append or heartbeat; clients don't read from them
 }
 
 void node::compact(log_index index)
@@ -297,15 +298,15 @@
     base_term_ = new_base_term;
 }
 
-// A member that has a snapshot, or nearly all of the log, needs what comes after it. Without it the snapshot
-// that is on its way is worth nothing once the next one is saved.
+// Keeps the entries that members which are catching up need next. Without the entries after a snapshot in
+// flight, that snapshot would be useless as soon as the next one is saved.
 log_index node::retained_base_index(log_index compacted) const noexcept
 {
     if (role_ != role::leader)
     {
         return compacted;
     }
-    // What a member has is known once it has answered this leader.
+    // The match index of a member is unknown until it replies to this leader.
     const bool is_newly_elected = last_event_at_ < leader_since_ + options_.election_timeout;
     log_index from = compacted;
     for (const auto& [id, peer] : peers_)
@@ -338,7 +339,7 @@
     }
 }
 
-// ---- notes for log lines -----------------------------------------------------------------------
+// ---- records for log lines ---------------------------------------------------------------------
 
 std::string_view to_string(step_down_reason value) noexcept
 {
@@ -359,7 +360,7 @@
 duration node::since_quorum_ack(time_point now) const
 {
     const std::vector<time_point> times = voter_acknowledgements(now);
-    // Before a quorum's first acknowledgement the term's beginning stands for it: votes are one.
+    // Before the first acknowledgement by a quorum, the start of the term counts: the votes acknowledge it.
     const time_point newest =
         times.empty() ? leader_since_ : std::max(times[times.size() / 2], leader_since_);
     return std::chrono::duration_cast<duration>(now - newest);
--- a/src/replica/node_election.cpp
+++ b/src/replica/node_election.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief How a node becomes a leader, and ceases to be one.
+/// @brief Election of a node and loss of its leadership.
 
 #include "plumspoke/replica/node.hpp"
 
@@ -11,7 +11,7 @@
 namespace
 {
 
-/// @brief The next value of splitmix64 (Steele, Lea, Flood, 2014); enough to spread timeouts.
+/// @brief Returns the next value of splitmix64 (Steele, Lea, Flood, 2014); suffices to randomize timeouts.
 std::uint64_t next_random(std::uint64_t& state) noexcept
 {
     state += 0x9e3779b97f4a7c15U;
@@ -77,7 +77,7 @@
     }
     if (role_ == role::leader)
     {
-        // A former leader counts as having just heard one: its last followers may still hold its lease.
+        // A former leader counts as having just heard from one: its followers may still honor its lease.
         leader_contact_at_ = now;
         record_leader_contact(now);
     }
--- a/src/replica/node_replication.cpp
+++ b/src/replica/node_replication.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief How entries and snapshots reach the members, and when an entry is committed.
+/// @brief Replication of entries and snapshots to the members, and advancement of the commit index.
 
 #include "plumspoke/replica/node.hpp"
 
@@ -20,7 +20,7 @@
         send(received.from, append_reply{false, last_index(), body.sent_at_us});
         return;
     }
-    PLUMSPOKE_ASSERT(role_ != role::leader); // two leaders of one term can't be
+    PLUMSPOKE_ASSERT(role_ != role::leader); // a term has at most one leader
     role_ = role::follower;
     pre_voting_ = false;
     leader_ = received.from;
@@ -30,7 +30,7 @@
 
     if (body.previous_index < base_index_)
     {
-        // What lies below the snapshot is committed, so it matches.
+        // Entries that the snapshot covers are committed, so they match.
         send(received.from, append_reply{true, commit_index_, body.sent_at_us});
         return;
     }
@@ -40,7 +40,7 @@
         log_index hint = std::min(last_index(), body.previous_index - 1);
         while (own_term.has_value() && hint > commit_index_ && term_at(hint) == own_term)
         {
-            --hint; // skip the whole conflicting term
+            --hint; // skip all entries of the conflicting term
         }
         send(received.from, append_reply{false, std::max(hint, commit_index_), body.sent_at_us});
         return;
@@ -138,7 +138,7 @@
         unpersisted_from_ = 0;
         pending_truncate_ = 0;
         pending_install_ = body.state;
-        hard_changed_ = true; // the new log file starts with term and vote
+        hard_changed_ = true; // the new log file starts with the term and vote
         adopt_membership();
     }
     send(received.from, append_reply{true, commit_index_, body.sent_at_us});
@@ -157,7 +157,7 @@
 
 void node::truncate_from(log_index index)
 {
-    PLUMSPOKE_ASSERT(index > commit_index_); // what is committed is never removed
+    PLUMSPOKE_ASSERT(index > commit_index_); // committed entries are never removed
     log_.resize(index - base_index_ - 1);
     pending_truncate_ = pending_truncate_ == 0 ? index : std::min(pending_truncate_, index);
     if (unpersisted_from_ >= index)
@@ -217,7 +217,7 @@
     const log_index candidate = matches[matches.size() / 2];
     if (candidate > commit_index_ && term_at(candidate) == hard_.term)
     {
-        commit_to(candidate); // only entries of the own term are counted: Raft, section 5.4.2
+        commit_to(candidate); // counting commits entries of the current term only: Raft, section 5.4.2
     }
 }
 
@@ -287,9 +287,9 @@
     const bool in_flight = peer.is_snapshot_in_flight(now, base_index_, options_.snapshot_resend_interval);
     if (!peer.is_responsive(now, options_) || snapshot_pending_ || in_flight)
     {
-        // A heartbeat in its place, for its acknowledgement: the lease may hang on this member. It is refused
-        // until the snapshot has arrived. A member that doesn't answer, such as a lost disk, would only take
-        // the bandwidth that others need; its first answer brings the snapshot.
+        // Sends a heartbeat instead, because the lease may depend on this member's acknowledgement; the
+        // member rejects it until the snapshot has arrived. A snapshot to an unresponsive member, such as a
+        // lost disk, would waste bandwidth that others need; it is sent after the member's first reply.
         send(to, append{base_index_, base_term_, commit_index_, sent_at_us, {}});
         return;
     }
--- a/src/replica/snapshot_schedule.cpp
+++ b/src/replica/snapshot_schedule.cpp
@@ -6,11 +6,11 @@
 namespace
 {
 
-// A member that is taken in gets a snapshot that is newer than so many entries, so that little of the log is
-// left to send after it: a lost disk is replaced only once its successor has both.
+// A lost disk is only replaced once its successor has the snapshot and the log after it, so a joining member
+// gets a snapshot that is at most this many entries old.
 constexpr std::size_t fresh_snapshot_interval = 50;
 constexpr auto fresh_snapshot_timeout = milliseconds(500);
-constexpr auto retry_interval = milliseconds(1000); // a snapshot that found no room is no hurry
+constexpr auto retry_interval = milliseconds(1000); // after a full disk; snapshots are not urgent
 
 } // namespace
 
@@ -35,7 +35,7 @@
 {
     clear_request_if_fresh(applied);
     const bool due = fresh_requested_ || applied >= saved_index_ + interval_;
-    // Under load something always waits to be applied; who needs a snapshot doesn't wait for that.
+    // Under load the apply queue is never empty, so a member that needs a snapshot does not wait for that.
     const bool ready = fresh_requested_ ? !installing : idle;
     return due && ready && now >= next_attempt_at_;
 }
--- a/src/replica/storage.cpp
+++ b/src/replica/storage.cpp
@@ -24,7 +24,7 @@
 constexpr std::string_view identity_name = "identity";
 constexpr mode_t file_mode = 0640;
 
-/// @brief A file of a numbered row, such as `log-3`.
+/// @brief A file whose name ends in a number, such as `log-3`.
 struct numbered_file
 {
     std::uint64_t number = 0;
@@ -97,7 +97,7 @@
     return out;
 }
 
-/// @brief Adds one frame's content to what was read so far.
+/// @brief Applies one frame to the state read so far.
 void replay(const wire::Persist& frame, restored_state& restored)
 {
     if (frame.has_hard_state())
@@ -247,7 +247,7 @@
     }
     else if (!list_numbered(folder_, log_prefix).empty())
     {
-        return errc::log_damaged; // a log without its identity: part of the folder is gone
+        return errc::log_damaged; // a log without an identity: the folder is incomplete
     }
     if (const std::error_code failed = load_snapshot(restored); failed)
     {
@@ -383,7 +383,7 @@
     const std::error_code failed = write_all(file, frame);
     if (failed == errc::disk_full && ::ftruncate(file, before) != 0)
     {
-        return errc::disk_write_failed; // a part of the frame stays: the next one would stand behind damage
+        return errc::disk_write_failed; // the next frame would follow a partial one, which counts as damage
     }
     if (failed)
     {
@@ -409,7 +409,7 @@
     }
     if (failed)
     {
-        std::error_code ignored; // it only holds room that is short
+        std::error_code ignored; // removed only to free disk space
         std::filesystem::remove(temporary, ignored);
         return failed;
     }
--- a/tests/src/full_disk_fixture.hpp
+++ b/tests/src/full_disk_fixture.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief A replica alone in its group, on a disk that a test fills up.
+/// @brief A group of one replica, on a disk that a test can make full.
 
 #include "plumspoke/replica/driver.hpp"
 
@@ -17,7 +17,7 @@
 
 inline std::atomic<bool> disk_is_full{false};
 
-// Takes half of a record first, as a disk does that fills up.
+// Writes half of a record before it fails, like a disk that becomes full.
 inline ssize_t write_until_full(int file, const void* bytes, std::size_t count)
 {
     if (!disk_is_full)
@@ -72,7 +72,7 @@
     return false;
 }
 
-/// @brief A folder of its own, removed at the end.
+/// @brief A temporary folder that is removed on destruction.
 struct folder
 {
     folder() : path((std::filesystem::temp_directory_path() / "plumspoke-full-XXXXXX").string())
@@ -89,7 +89,7 @@
     std::string path;
 };
 
-/// @brief The replica, started.
+/// @brief A started replica with its storage, state machine and transport.
 struct fixture
 {
     fixture()
--- a/tests/src/unit-lost_disks.cpp
+++ b/tests/src/unit-lost_disks.cpp
@@ -1,5 +1,6 @@
 /// @file
-/// @brief A control VM whose disk was lost votes again within a second of its request, and nothing is lost.
+/// @brief A control VM whose disk was lost is a voter again within a second of its join request, and no
+///        committed entry is lost.
 
 #include "replica_simulation.hpp"
 
@@ -46,7 +47,7 @@
 
 } // namespace
 
-TEST_CASE("a lost disk votes again within a second")
+TEST_CASE("a replaced disk becomes a voter within a second")
 {
     for (std::uint64_t seed = 1; seed <= seeds; ++seed)
     {
@@ -60,7 +61,7 @@
     }
 }
 
-TEST_CASE("two disks that are lost at once vote again within a second")
+TEST_CASE("two disks that are replaced at once become voters within a second")
 {
     for (std::uint64_t seed = 101; seed <= 100 + seeds; ++seed)
     {
@@ -75,7 +76,7 @@
     }
 }
 
-TEST_CASE("a leader that ends while a lost disk gets its snapshot costs nothing but time")
+TEST_CASE("no entry is lost when the leader crashes while a replaced disk gets its snapshot")
 {
     for (std::uint64_t seed = 201; seed <= 200 + seeds; ++seed)
     {
@@ -88,7 +89,8 @@
     }
 }
 
-TEST_CASE("what is committed outlives a lost disk that votes again, and two more with a loss of all power")
+TEST_CASE(
+    "committed entries survive a replaced disk, then two more lost disks and a power loss of all other VMs")
 {
     for (std::uint64_t seed = 301; seed <= 300 + seeds; ++seed)
     {
@@ -112,7 +114,7 @@
     }
 }
 
-TEST_CASE("a lost disk votes again though links are slow")
+TEST_CASE("a replaced disk becomes a voter although links are slow")
 {
     for (std::uint64_t seed = 401; seed <= 400 + seeds; ++seed)
     {
--- a/tests/src/unit-replica_busy_state.cpp
+++ b/tests/src/unit-replica_busy_state.cpp
@@ -1,19 +1,12 @@
 /// @file
-/// @brief A replica whose state is held by a reader: does its thread go on sending and hearing heartbeats?
+/// @brief A replica keeps sending and receiving heartbeats while a reader locks its state.
 ///
-/// Symptom: a leader that is well loses its term in the middle of a long decision, and starts stop until the
-/// next leader is in place.
-///
-/// Sequence: the leader's loop decides while it reads the state under its lock. A record commits meanwhile.
-/// The replica's thread applies it, waits for the same lock, and until it has it neither sends a heartbeat
-/// nor reads an acknowledgement. Then the next tick finds that no quorum has answered for an election
-/// timeout, or a follower has stood for election.
-///
-/// Cause: the thread that keeps the lease waits without a limit behind whoever reads the state. A record that
-/// is committed may be applied late, but a heartbeat can't be sent late.
-///
-/// What settled it, with three replicas and an election timeout of 700 ms, a record committing while the
-/// state is held: held for 500 or 620 ms, 0 of 5 terms ended; for 800 ms, 5 of 5.
+/// Guards against a healthy leader that loses its leadership during a long decision, so that nothing is
+/// started until the next leader is elected. The leader's loop decides while it holds the lock of the state.
+/// If an entry commits meanwhile and the replica's thread waits for that lock without a timeout in order to
+/// apply it, the thread neither sends heartbeats nor reads acknowledgements until it has the lock. With three
+/// replicas and an election timeout of 700 ms, leadership was lost in 5 of 5 runs that locked the state for
+/// 800 ms, and in 0 of 5 for 500 or 620 ms.
 
 #include "plumspoke/jobs/codec.hpp"
 #include "plumspoke/jobs/machine.hpp"
@@ -35,7 +28,7 @@
 constexpr auto state_lock_duration = milliseconds(1200); // twice the election timeout
 constexpr auto answer_timeout = seconds(5);
 
-/// @brief Three replicas' connections within this process; each replica may be cut off.
+/// @brief In-process connections between three replicas; each replica can be disconnected.
 class local_network
 {
   public:
@@ -104,7 +97,7 @@
     return false;
 }
 
-/// @brief Three replicas of the jobs' state, one of which leads.
+/// @brief Three replicas of the job state, one of which is the leader.
 class test_cluster
 {
   public:
@@ -173,7 +166,7 @@
     return jobs::encode(record);
 }
 
-/// @brief A proposal that was made, and its answer when it comes.
+/// @brief Proposes a record; the future holds its result.
 std::future<proposal_result> propose(driver& to)
 {
     auto promise = std::make_shared<std::promise<proposal_result>>();
@@ -192,7 +185,7 @@
 
 } // namespace
 
-TEST_CASE("a leader whose state is held for longer than its lease keeps its term while a record commits")
+TEST_CASE("a leader whose state is locked for longer than its lease keeps its term while a record commits")
 {
     test_cluster cluster;
     test_replica& leader = *cluster.find_leader();
@@ -218,7 +211,7 @@
     CHECK(leader.runner->status().last_leadership.term == 0);
 }
 
-TEST_CASE("a leadership lost between commit and apply: each record's answer is true")
+TEST_CASE("proposals get the right result when leadership is lost between commit and apply")
 {
     test_cluster cluster;
     test_replica& leader = *cluster.find_leader();
@@ -249,7 +242,7 @@
     CHECK(after_cut.get().error == make_error_code(errc::lost_leadership));
 }
 
-TEST_CASE("a follower whose state is held takes a snapshot and what follows it in order")
+TEST_CASE("a follower whose state is locked restores a snapshot and the entries after it in order")
 {
     driver_options options;
     options.snapshot_interval = 10;
@@ -269,8 +262,8 @@
     lagging.machine.read(
         [&](const jobs::store&)
         {
-            // Waits on the follower when the snapshot comes, which holds a state that has forgotten the job:
-            // applied after it, it would bring the job back.
+            // This command is still queued on the follower when a snapshot arrives whose state no longer has
+            // the job. Applied after the snapshot, it would restore the job.
             jobs::submit taken_in;
             taken_in.id = "j";
             taken_in.spec.steps.resize(1);
@@ -314,7 +307,7 @@
     CHECK(lagging.machine.save() == leader.machine.save());
 }
 
-TEST_CASE("a replica whose state is held stops, and says of what it hasn't applied that it stopped")
+TEST_CASE("a replica whose state is locked stops, and fails unapplied proposals with errc::stopping")
 {
     test_cluster cluster;
     test_replica& leader = *cluster.find_leader();
--- a/tests/src/unit-replica_full_disk.cpp
+++ b/tests/src/unit-replica_full_disk.cpp
@@ -1,10 +1,9 @@
 /// @file
-/// @brief A replica whose disk is full for a while.
+/// @brief A replica whose disk is temporarily full.
 ///
-/// Symptom: a control VM's process ended four times within 5 s, while its disk took no more bytes.
-/// Sequence: a record finds no room; the replica takes that for a broken disk and ends; it is started again,
-/// reads the whole state, and the next record finds no room. Cause: a full disk and a failed one were the
-/// same error. What found no room may be tried again: the file is as it was before.
+/// Guards against treating a full disk as a failed one. The process would end, be restarted, read the whole
+/// state and end again at the next record; a control VM's process once ended four times within 5 s. A write
+/// that fails for lack of space leaves the file unchanged and can be repeated.
 
 #include "full_disk_fixture.hpp"
 
@@ -12,7 +11,7 @@
 using namespace plumspoke::replica;
 using namespace plumspoke::replica::full_disk_test;
 
-TEST_CASE("a replica bears a full disk: it acknowledges nothing, and goes on when there is room")
+TEST_CASE("a replica with a full disk acknowledges nothing, and resumes when there is free space")
 {
     const folder data_folder;
     std::uint64_t last_index = 0;
@@ -38,7 +37,7 @@
 
         disk_is_full = false;
         REQUIRE(holds_within(seconds(5), holds_lease));
-        for (int i = 0; i < 30; ++i) // some snapshots long
+        for (int i = 0; i < 30; ++i) // enough for several snapshots
         {
             CHECK_FALSE(replica.propose_and_wait("after", seconds(2)).error);
         }
--- a/tests/src/unit-replica_join.cpp
+++ b/tests/src/unit-replica_join.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief A disk without an identity joins a running group over real connections.
+/// @brief A replica without an identity joins a running group over real connections.
 
 #include "plumspoke/replica/driver.hpp"
 #include "plumspoke/replica/grpc_transport.hpp"
@@ -38,7 +38,7 @@
     std::atomic<int> count{0};
 };
 
-/// @brief One replica with its folder and its server on a port that the system picks.
+/// @brief One replica with a data folder, and a server on a port that the system assigns.
 class replica_process
 {
   public:
@@ -94,7 +94,7 @@
 
 } // namespace
 
-TEST_CASE("a disk without an identity is taken in, though it knows no member yet")
+TEST_CASE("a replica without an identity joins a group although it has no membership yet")
 {
     const std::filesystem::path folder =
         std::filesystem::temp_directory_path() / ("plumspoke-join-" + std::to_string(::getpid()));
--- a/tests/src/unit-replica_led_once.cpp
+++ b/tests/src/unit-replica_led_once.cpp
@@ -1,11 +1,10 @@
 /// @file
-/// @brief A term is led once: whoever has said that it leads no more leads again in a later term only.
+/// @brief A replica that has published the end of its leadership does not lead again in the same term.
 ///
-/// Found by reading, while two tasks were looked into that stood still for two minutes. A leader whose disk
-/// is full says at once that it leads no more; once there was room again it led on in the same term. Whoever
-/// decides had begun anew by then: it read the state before what it had handed in earlier was committed, and
-/// numbered its records from 1 again, so the answer to an earlier record settled another one. A run recorded
-/// that way is followed by nobody.
+/// Guards against a leader whose disk is full: it publishes at once that it stepped down, and must not go on
+/// in the same term when there is free space again. By then the leader's loop has restarted: it reads the
+/// state before its earlier proposals are committed and numbers its records from 1 again, so that the answer
+/// to an earlier record is taken for that of another one. Nobody follows a run recorded that way.
 
 #include "full_disk_fixture.hpp"
 
@@ -15,7 +14,7 @@
 using namespace plumspoke::replica;
 using namespace plumspoke::replica::full_disk_test;
 
-TEST_CASE("a leader whose disk was full leads again in a later term")
+TEST_CASE("a leader whose disk was full leads again only in a later term")
 {
     fixture f;
     REQUIRE(holds_within(seconds(5),
--- a/tests/src/unit-replica_node.cpp
+++ b/tests/src/unit-replica_node.cpp
@@ -39,7 +39,8 @@
     return nullptr;
 }
 
-/// Makes node `a` the leader by answering its requests in b's name.
+/// @brief Makes node a the leader by answering its vote requests as node b.
+/// @return the time of its election
 time_point elect(node& node_a)
 {
     time_point now = start;
@@ -80,7 +81,7 @@
 {
     node node_a("a", {}, empty_state(), start, 1);
 
-    SECTION("withholds its vote for an election timeout, since it forgot whom it heard")
+    SECTION("withholds its vote for an election timeout, since the last leader contact is unknown")
     {
         node_a.receive(start + milliseconds(100), from("b", 5, vote{10, 4}));
         CHECK(find_sent<vote_reply>(node_a.take_output(), "b") == nullptr);
@@ -94,14 +95,14 @@
         CHECK(output.hard->voted_for == "b");
     }
 
-    SECTION("ignores what was meant for an older disk under its address")
+    SECTION("ignores messages for an earlier disk at its address")
     {
         message meant_for_other{"b", "a.old", 9, vote{10, 4}};
         node_a.receive(start + seconds(2), meant_for_other);
         CHECK(node_a.term() == 0);
     }
 
-    SECTION("does not stand for election while it is no voter")
+    SECTION("does not start an election while it is a learner")
     {
         restored_state learner;
         learner.base.members = {{{"b", "b", "b", true}, {"x", "x", "x", false}}};
@@ -115,9 +116,9 @@
     }
 }
 
-TEST_CASE("a replica whose time has a gap withholds its vote as after a restart")
+TEST_CASE("a replica withholds its vote after a pause, as after a restart")
 {
-    // Regression: a clock that jumped made a follower forget a leader that still held its lease.
+    // A clock jump must not make a follower vote while the previous leader still holds its lease.
     node node_a("a", {}, empty_state(), start, 1);
     node_a.receive(start + milliseconds(10), from("b", 1, append{0, 0, 0, 1, {}}));
     node_a.receive(start + seconds(3), from("c", 2, vote{10, 4}));
@@ -129,7 +130,7 @@
     node node_a("a", {}, empty_state(), start, 1);
     const time_point elected = elect(node_a);
 
-    SECTION("may not act before an entry of its own term is committed")
+    SECTION("holds no lease before an entry of its own term is committed")
     {
         CHECK_FALSE(node_a.holds_lease(elected));
         node_a.receive(elected + milliseconds(1), from("b", node_a.term(), acknowledge(node_a, elected)));
@@ -137,21 +138,22 @@
         CHECK(node_a.holds_lease(elected + milliseconds(1)));
     }
 
-    SECTION("holds its lease from when the acknowledged message was sent, not from when the answer came")
+    SECTION(
+        "holds its lease from when the acknowledged message was sent, not from when the reply was received")
     {
         node_a.receive(elected + milliseconds(400), from("b", node_a.term(), acknowledge(node_a, elected)));
         CHECK(node_a.holds_lease(elected + milliseconds(470)));
         CHECK_FALSE(node_a.holds_lease(elected + milliseconds(481)));
     }
 
-    SECTION("steps down when no quorum answers")
+    SECTION("steps down when no quorum acknowledges")
     {
         node_a.receive(elected + milliseconds(1), from("b", node_a.term(), acknowledge(node_a, elected)));
         node_a.tick(elected + milliseconds(1300));
         CHECK(node_a.current_role() == role::follower);
     }
 
-    SECTION("commits nothing that only itself has synced")
+    SECTION("does not commit entries that only the leader has synced")
     {
         const std::vector<std::string> commands = {"x"};
         (void)node_a.propose(elected, commands);
@@ -175,7 +177,7 @@
         CHECK(node_a.commit_index() == 2);
     }
 
-    SECTION("changes its membership by one step at a time")
+    SECTION("changes its membership one step at a time")
     {
         node_a.receive(elected + milliseconds(1), from("b", node_a.term(), acknowledge(node_a, elected)));
         membership changed = three_voters();
@@ -185,14 +187,14 @@
     }
 }
 
-TEST_CASE("the next step of a membership")
+TEST_CASE("the next membership change")
 {
     node node_a("a", {}, empty_state(), start, 1);
     const time_point elected = elect(node_a);
     node_a.receive(elected + milliseconds(1), from("b", node_a.term(), acknowledge(node_a, elected)));
     const time_point later = elected + seconds(1);
 
-    SECTION("takes a new disk in as a learner where the old one is silent")
+    SECTION("adds a new disk as a learner if the old one is unresponsive")
     {
         const std::vector<member> joining = {{"c.new", "c", "c", false}};
         const auto changed = next_membership(node_a, joining, later, {});
@@ -201,14 +203,14 @@
         CHECK(changed->is_voter("c"));
     }
 
-    SECTION("refuses a second process under a name that answers")
+    SECTION("rejects a second process with the name of a responsive member")
     {
         node_a.receive(later, from("c", node_a.term(), acknowledge(node_a, elected)));
         const std::vector<member> joining = {{"c.new", "c", "c", false}};
         CHECK_FALSE(next_membership(node_a, joining, later + milliseconds(1), {}).has_value());
     }
 
-    SECTION("promotes a learner only with all that is committed, and then removes the disk it replaces")
+    SECTION("promotes a learner only once it has caught up, and then removes the disk it replaces")
     {
         membership with_learner = three_voters();
         with_learner.members.push_back({"c.new", "c", "c", false});
@@ -216,7 +218,7 @@
         (void)node_a.take_output();
         node_a.persisted(elected + milliseconds(2));
         node_a.receive(elected + milliseconds(3), from("b", node_a.term(), acknowledge(node_a, elected)));
-        CHECK_FALSE(next_membership(node_a, {}, later, {}).has_value()); // it has nothing yet
+        CHECK_FALSE(next_membership(node_a, {}, later, {}).has_value()); // it has no entries yet
         node_a.receive(elected + milliseconds(4), from("c.new", node_a.term(), acknowledge(node_a, elected)));
         const auto promoted = next_membership(node_a, {}, later, {});
         REQUIRE(promoted.has_value());
@@ -233,7 +235,7 @@
     }
 }
 
-TEST_CASE("a group with a wanted number of voters")
+TEST_CASE("a group with a target number of voters")
 {
     node_options options;
     options.target_voter_count = 3;
@@ -255,12 +257,12 @@
     };
     all_answer(elected + milliseconds(3));
 
-    SECTION("lets a further member stand by while all voters answer")
+    SECTION("keeps a further member as a learner while all voters respond")
     {
         node_a.receive(elected + milliseconds(4), from("c", node_a.term(), acknowledge(node_a, elected)));
         CHECK_FALSE(next_membership(node_a, {}, elected + milliseconds(500), options).has_value());
     }
-    SECTION("puts it in the place of a voter that is silent for long: promoted first, removed after")
+    SECTION("replaces an unresponsive voter: promotes the learner first, then removes the voter")
     {
         const time_point later = elected + options.voter_replacement_timeout + seconds(1);
         all_answer(later);
@@ -279,14 +281,14 @@
     }
 }
 
-TEST_CASE("a leader's term says why it ended")
+TEST_CASE("a leader records why it stepped down")
 {
     node node_a("a", {}, empty_state(), start, 1);
     const time_point elected = elect(node_a);
     CHECK(node_a.last_leadership().term == 0);
     const term_number led_term = node_a.term();
 
-    SECTION("no quorum has acknowledged")
+    SECTION("no quorum acknowledged")
     {
         time_point now = elected;
         while (node_a.current_role() == role::leader)
@@ -318,7 +320,7 @@
         CHECK(node_a.last_leadership().longest_event_gap == milliseconds(100));
     }
 
-    SECTION("it has resigned")
+    SECTION("it was asked to step down")
     {
         node_a.step_down(elected + milliseconds(50));
         CHECK(node_a.last_leadership().reason == step_down_reason::resigned);
@@ -326,7 +328,7 @@
     }
 }
 
-TEST_CASE("a leader whose member needs a snapshot")
+TEST_CASE("a leader with a member that needs a snapshot")
 {
     restored_state compacted = empty_state();
     compacted.base.index = 100;
@@ -335,7 +337,7 @@
     options.max_retained_entries = 3;
     node node_a("a", options, compacted, start, 1);
     const time_point elected = elect(node_a);
-    // b has an empty log, and c is not there: the lease hangs on b's answers.
+    // b has an empty log and c is down, so the lease depends on b's replies.
     const auto reject_append = [&](time_point now, time_point sent)
     {
         node_a.receive(now, from("b", node_a.term(), append_reply{false, 0, to_microseconds(sent)}));
@@ -345,7 +347,7 @@
     node_a.persisted(elected + milliseconds(1));
     const time_point sent_at = elected + milliseconds(1);
 
-    SECTION("sends it again after a second, not with each heartbeat; heartbeats go on and keep its term")
+    SECTION("resends it after a second, not with each heartbeat, and heartbeats keep its leadership")
     {
         int heartbeats = 0;
         time_point repeated{};
@@ -363,7 +365,7 @@
             {
                 ++heartbeats;
                 reject_append(now, now);
-                CHECK(node_a.take_output().messages.empty()); // a refusal brings no repeat before its time
+                CHECK(node_a.take_output().messages.empty()); // a rejection does not cause an early resend
             }
         }
         CHECK(repeated >= sent_at + seconds(1));
@@ -387,7 +389,7 @@
         node_a.set_snapshot(newer);
     };
 
-    SECTION("sends a newer one at once where the log after the first one is gone")
+    SECTION("sends a newer one at once if the entries after the first one are compacted")
     {
         save_newer_snapshot(4);
         node_a.tick(sent_at + milliseconds(160));
@@ -396,7 +398,7 @@
         CHECK(find_sent<install_snapshot>(output, "b")->state.index == node_a.last_index());
     }
 
-    SECTION("sends no newer one where the log after the first one is held, and goes on with that log")
+    SECTION("sends no newer one if the entries after the first one are retained, and continues with them")
     {
         save_newer_snapshot(2);
         node_a.tick(sent_at + milliseconds(160));
@@ -409,10 +411,10 @@
         CHECK(find_sent<append>(output, "b")->entries.size() == 3);
     }
 
-    SECTION("sends none to a lost disk whose successor has joined, and one to the successor")
+    SECTION("sends none to a lost disk whose successor has joined, but one to the successor")
     {
         node_a.receive(sent_at,
-                       from("c", node_a.term(), acknowledge(node_a, sent_at))); // the term's own entry
+                       from("c", node_a.term(), acknowledge(node_a, sent_at))); // the first entry of the term
         membership changed = node_a.members();
         changed.members.push_back({"b2", "b", "b", false});
         REQUIRE(node_a.propose_membership(sent_at, changed));
@@ -435,10 +437,10 @@
         }
         CHECK(to_lost == 0);
         CHECK(to_successor > 0);
-        CHECK(heartbeats > 0); // its acknowledgement would count
+        CHECK(heartbeats > 0); // its acknowledgement would count towards the quorum
     }
 
-    SECTION("goes on with the log once it has arrived")
+    SECTION("continues with the log once the snapshot has arrived")
     {
         node_a.receive(sent_at + milliseconds(50),
                        from("b", node_a.term(), append_reply{true, 100, to_microseconds(sent_at)}));
@@ -449,7 +451,7 @@
     }
 }
 
-TEST_CASE("a candidacy says how long ago the leader was heard, and the longest own gap")
+TEST_CASE("a candidacy records the time since the last leader contact and the longest gap between events")
 {
     node node_a("a", {}, empty_state(), start, 1);
     time_point now = start;
@@ -465,7 +467,8 @@
     node_a.receive(now, from("b", 1, append{}));
     const time_point heard = now;
     CHECK(node_a.last_candidacy().number == 0);
-    // A gap past half an election timeout puts the election off, and the true silence is said all the same.
+    // A gap of more than half an election timeout delays the election, but does not change the recorded time
+    // since the last leader contact.
     now += milliseconds(450);
     node_a.tick(now);
     while (node_a.last_candidacy().number == 0)
--- a/tests/src/unit-replica_rejoin.cpp
+++ b/tests/src/unit-replica_rejoin.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief How a lost disk gets its vote back while the group is busy.
+/// @brief An empty disk becomes a voter while the group is under load.
 
 #include "plumspoke/replica/driver.hpp"
 #include "plumspoke/replica/grpc_transport.hpp"
@@ -20,9 +20,9 @@
 {
 
 constexpr std::size_t state_bytes = 2U << 20U;
-constexpr int records_before = 2600; // more than lie between two snapshots
+constexpr int records_before = 2600; // more than the snapshot interval
 
-/// @brief A state of a few megabytes that counts commands.
+/// @brief Counts commands; its saved state has a few megabytes.
 class large_machine final : public state_machine
 {
   public:
@@ -44,7 +44,7 @@
     std::atomic<int> count{0};
 };
 
-/// @brief Counts the snapshots that go out.
+/// @brief Counts the snapshots sent.
 class counting_transport final : public transport
 {
   public:
@@ -114,7 +114,7 @@
 
 } // namespace
 
-TEST_CASE("an empty disk gets one snapshot and its vote, though records never stop coming")
+TEST_CASE("an empty disk gets a single snapshot and becomes a voter under continuous load")
 {
     const std::filesystem::path folder =
         std::filesystem::temp_directory_path() / ("plumspoke-rejoin-" + std::to_string(::getpid()));
--- a/tests/src/unit-replica_snapshots.cpp
+++ b/tests/src/unit-replica_snapshots.cpp
@@ -1,9 +1,8 @@
 /// @file
-/// @brief When replicas save snapshots: not all of a group at once.
+/// @brief The replicas of a group save snapshots at different log indexes.
 ///
-/// A replica's thread neither sends nor hears while it saves one. Replicas apply the same entries, so with
-/// one interval they would all save at the same entry, and the leader would be silent together with its
-/// quorum.
+/// A replica's thread neither sends nor receives while it saves a snapshot. Replicas apply the same entries,
+/// so with equal intervals the leader and its quorum would stop responding at the same entry.
 
 #include "plumspoke/jobs/codec.hpp"
 #include "plumspoke/jobs/machine.hpp"
@@ -54,7 +53,7 @@
 
 } // namespace
 
-TEST_CASE("replicas of a group save snapshots at intervals of their own")
+TEST_CASE("the replicas of a group have different snapshot intervals")
 {
     constexpr int groups = 1000;
     int differing = 0;
@@ -72,11 +71,11 @@
     CHECK(shortest >= interval / 2);
     CHECK(shortest < interval * 55 / 100);
     CHECK(longest > interval * 95 / 100);
-    CHECK(longest <= interval); // the setting bounds what a restart reads
+    CHECK(longest <= interval); // the setting limits how many entries a restart reads
     CHECK(jittered_snapshot_interval("a", 1) == 1);
 }
 
-TEST_CASE("a replica saves a snapshot after as many entries as its own interval says")
+TEST_CASE("a replica saves a snapshot after each interval")
 {
     constexpr std::size_t configured_interval = 40;
     constexpr int records = 150;
--- a/tests/src/unit-replica_storage.cpp
+++ b/tests/src/unit-replica_storage.cpp
@@ -11,7 +11,7 @@
 
 using namespace plumspoke::replica;
 
-/// A folder that goes away with the test.
+/// @brief A temporary folder that is removed on destruction.
 class temporary_folder
 {
   public:
@@ -91,7 +91,7 @@
 {
     const temporary_folder folder;
 
-    SECTION("gives back what was synced")
+    SECTION("restores what was synced")
     {
         fill(folder.data(), 5);
         storage disk(folder.data());
@@ -104,7 +104,7 @@
         CHECK(restored.base.members == one_member());
     }
 
-    SECTION("without an identity says so, and keeps the one that it adopts")
+    SECTION("without an identity reports it, and keeps the one that is written")
     {
         {
             storage disk(folder.data());
@@ -116,17 +116,17 @@
         restored_state restored;
         CHECK_FALSE(disk.open(restored));
         CHECK(disk.identity() == "c1.new");
-        CHECK(restored.base.members.members.empty()); // it votes in nobody's name
+        CHECK(restored.base.members.members.empty()); // it is not a voter
     }
 
-    SECTION("is initialized once only")
+    SECTION("is initialized only once")
     {
         fill(folder.data(), 1);
         storage disk(folder.data());
         CHECK(disk.initialize("c1.second", one_member()) == errc::already_initialized);
     }
 
-    SECTION("is held by one process at a time")
+    SECTION("is locked by one process at a time")
     {
         fill(folder.data(), 1);
         storage first(folder.data());
@@ -137,7 +137,7 @@
         CHECK(second.open(other) == errc::folder_in_use);
     }
 
-    SECTION("loses a torn last frame, wherever it was torn, and nothing before it")
+    SECTION("drops a torn last frame, wherever it was torn, and nothing before it")
     {
         fill(folder.data(), 4);
         const std::filesystem::path log = folder.data() / "log-1";
@@ -156,7 +156,7 @@
         REQUIRE(read_all(log).size() == last_start);
     }
 
-    SECTION("goes on after a torn tail")
+    SECTION("accepts new records after a torn last frame")
     {
         fill(folder.data(), 3);
         const std::filesystem::path log = folder.data() / "log-1";
@@ -174,7 +174,7 @@
         CHECK(restored.entries.back().data == "after");
     }
 
-    SECTION("refuses damage in the middle, at each byte, and changes nothing")
+    SECTION("rejects damage before the last frame, at each byte, and is left unchanged")
     {
         fill(folder.data(), 3);
         const std::filesystem::path log = folder.data() / "log-1";
@@ -192,7 +192,7 @@
         }
     }
 
-    SECTION("refuses a damaged snapshot")
+    SECTION("rejects a damaged snapshot")
     {
         fill(folder.data(), 1);
         const std::filesystem::path path = folder.data() / "snapshot-0";
@@ -204,7 +204,7 @@
         CHECK(disk.open(restored) == errc::snapshot_damaged);
     }
 
-    SECTION("after a snapshot holds only what comes after it")
+    SECTION("holds only the entries after a saved snapshot")
     {
         fill(folder.data(), 10);
         {
@@ -231,7 +231,7 @@
         CHECK(restored.entries[0].index == 9);
     }
 
-    SECTION("killed between snapshot and new log keeps both good")
+    SECTION("is valid after a crash between saving a snapshot and starting a new log")
     {
         fill(folder.data(), 10);
         const std::string log = read_all(folder.data() / "log-1");
@@ -254,7 +254,7 @@
         CHECK(restored.entries.size() == 2);
     }
 
-    SECTION("whose disk is full or fails acknowledges nothing")
+    SECTION("on a full or failing disk acknowledges nothing")
     {
         fill(folder.data(), 1);
         for (const disk_operations disk_calls : {disk_operations{&full_disk, system_disk().sync},
@@ -270,7 +270,7 @@
                     const bool full = disk_calls.write == &full_disk;
                     CHECK(disk.persist(entry_output(2, "never")) ==
                           (full ? errc::disk_full : errc::disk_write_failed));
-                    // Nothing of what found no room is left behind.
+                    // A write that fails for lack of space leaves no partial frame.
                     CHECK((!full || read_all(folder.data() / "log-1") == before));
                 }
                 else
@@ -284,7 +284,7 @@
         }
     }
 
-    SECTION("forgets what a new leader truncated")
+    SECTION("drops entries that a new leader truncated")
     {
         fill(folder.data(), 5);
         {
--- a/tests/src/unit-replica_transport.cpp
+++ b/tests/src/unit-replica_transport.cpp
@@ -1,6 +1,5 @@
 /// @file
-/// @brief What the transport keeps for a peer that is slow: one snapshot at most, the newest, beside the
-/// heartbeats.
+/// @brief What the transport queues for a slow peer: heartbeats, and at most one snapshot, the newest.
 
 #include "plumspoke/plumspoke.grpc.pb.h"
 #include "plumspoke/replica/grpc_transport.hpp"
@@ -21,7 +20,7 @@
 namespace
 {
 
-/// @brief Holds the first call until it is let go, and keeps what the later ones bring.
+/// @brief Blocks the first call until it is released, and records the messages of later calls.
 class blocking_peer final : public wire::ReplicaPeer::Service
 {
   public:
@@ -73,7 +72,8 @@
         return largest_call_;
     }
 
-    /// @brief What came after the first call, once a message of `last_term` is among it.
+    /// @brief Waits until the last received message has `last_term`.
+    /// @return the messages received after the first call
     [[nodiscard]] std::vector<wire::ReplicaMessage> wait_for(term_number last_term)
     {
         std::unique_lock lock(mutex_);
@@ -90,12 +90,12 @@
     std::mutex mutex_;
     std::condition_variable changed_;
     int calls_ = 0;
-    std::size_t largest_call_ = 0; // in bytes, after the first
+    std::size_t largest_call_ = 0; // in bytes, without the first call
     bool released_ = false;
     std::vector<wire::ReplicaMessage> received_;
 };
 
-/// @brief Takes a snapshot in after a while, as a machine does that has a part of a processor.
+/// @brief Accepts a snapshot after a delay, like a machine with a fraction of a processor.
 class slow_snapshot_receiver final : public wire::ReplicaPeer::Service
 {
   public:
@@ -140,7 +140,7 @@
 
 } // namespace
 
-TEST_CASE("a snapshot on its way holds up no heartbeat, and of those that wait only the newest is sent")
+TEST_CASE("a snapshot in flight does not delay heartbeats, and only the newest pending snapshot is sent")
 {
     const std::string address = test::free_address();
     blocking_peer peer;
@@ -158,14 +158,15 @@
         sender.send(address, make_message(4, make_snapshot(3)));
         sender.send(address, make_message(5, make_snapshot(4)));
         sender.send(address, make_message(6, append{}));
-        CHECK(terms_of(peer.wait_for(6)) == std::vector<term_number>{3, 6}); // while the first is on its way
+        CHECK(terms_of(peer.wait_for(6)) ==
+              std::vector<term_number>{3, 6}); // while the first snapshot is in flight
         peer.release();
         CHECK(terms_of(peer.wait_for(5)) == std::vector<term_number>{3, 6, 5});
     }
     server->Shutdown();
 }
 
-TEST_CASE("a snapshot that was asked for again while it was on its way is not sent twice")
+TEST_CASE("a snapshot that was requested again while in flight is not sent twice")
 {
     const std::string address = test::free_address();
     blocking_peer peer;
@@ -187,8 +188,8 @@
     server->Shutdown();
 }
 
-// A disk that was lost and the one that replaces it have one address, and their snapshots often one index.
-TEST_CASE("a snapshot for a new disk is not taken for the one that its predecessor was sent")
+// A lost disk and its successor have the same address, and their snapshots often have the same index.
+TEST_CASE("a snapshot for a new disk is not mistaken for the one sent to its predecessor")
 {
     const std::string address = test::free_address();
     blocking_peer peer;
@@ -202,11 +203,11 @@
         sender.send(address, {"a", "lost", 1, make_snapshot(1)});
         REQUIRE(peer.wait_for_first());
         sender.send(address, {"a", "new", 2, make_snapshot(1)});
-        SECTION("where the first one is delivered")
+        SECTION("if the first one is delivered")
         {
             peer.release();
         }
-        SECTION("where nobody answers for the first one")
+        SECTION("if the first one gets no reply")
         {
         }
         CHECK(terms_of(peer.wait_for(2)) == std::vector<term_number>{2});
@@ -215,12 +216,11 @@
     server->Shutdown();
 }
 
-// Symptom: a control VM whose disk was lost was taken in as a learner and never got the state. Two more disks
-// were lost 5 s later, no quorum had the log, and all jobs were gone.
-// Sequence: the leader sends the snapshot, its call runs into a limit of 1.5 s while both ends are busy, the
-// snapshot is sent again from its beginning, and so on.
-// Cause: a limit that a message can't keep at the size it has.
-TEST_CASE("a snapshot whose receiver needs seconds for it arrives at the first try")
+// Guards against a call timeout that does not depend on the size of the snapshot. With 1.5 s and both ends
+// busy, each call timed out and the snapshot was sent again from its start, so a control VM whose disk was
+// lost never got the state. When two more disks were lost 5 s later, no quorum had the log, and all jobs were
+// lost.
+TEST_CASE("a snapshot whose receiver needs seconds for it arrives with the first call")
 {
     const std::string address = test::free_address();
     slow_snapshot_receiver peer;
@@ -237,7 +237,7 @@
         const time_point end = std::chrono::steady_clock::now() + seconds(8);
         while (peer.completed == 0 && std::chrono::steady_clock::now() < end)
         {
-            sender.send(address, make_message(1, large)); // the node repeats it each second
+            sender.send(address, make_message(1, large)); // as the node does
             std::this_thread::sleep_for(seconds(1));
         }
         CHECK(peer.completed == 1);
@@ -246,10 +246,10 @@
     server->Shutdown();
 }
 
-// Symptom: a lost disk had its snapshot after 1.4 s and not the log after it within 4 s more. Sequence: a
-// call with all that waits runs into its limit, is sent again together with what has come since, and so on.
-// Cause: calls that grow with each try.
-TEST_CASE("what waits for a slow peer goes in calls that are small enough for their limit")
+// Guards against calls that grow with each attempt: a call with all queued messages timed out and was
+// repeated together with the messages queued since. A replaced disk had its snapshot after 1.4 s, but not the
+// log after it within another 4 s.
+TEST_CASE("messages queued for a slow peer are sent in calls of limited size")
 {
     constexpr std::size_t entry_bytes = 30'000;
     const std::string address = test::free_address();
--- a/tests/src/unit-silent_connections.cpp
+++ b/tests/src/unit-silent_connections.cpp
@@ -1,30 +1,25 @@
 /// @file
-/// @brief Connections that go silent for good, without a reset, while new ones work: how soon is a new one
-/// used?
+/// @brief A new connection is used soon after an open one becomes unresponsive for good, without a reset.
 ///
-/// Symptom: a lasting task doesn't run though there is room; its runs lapse, under one leader after the
-/// other.
+/// Guards against call timeouts that do not fit twice into the lease or the caller's timeout: once for the
+/// unresponsive connection, once for the new one. The failure shows as a long-running task that does not run
+/// although there is capacity, because its runs lapse under one leader after the other.
 ///
-/// Sequence: open connections go silent. The log's transport waits 500 ms on the old connection, drops what
-/// it sent, waits 500 ms again, and only then connects anew; so does the answer on its own way back. A
-/// leader's lease is 600 ms, so it ends; pre-votes and votes meet the same connections. A worker's last
-/// renewal may be a second old and its lease is 4 s: the election leaves about a second for the new leader's
-/// first poll and its renewal, and one more silent connection uses that up. Workers go on to another control
-/// VM meanwhile and leave connections behind, each of which kept a thread for 60 s; with all threads held,
-/// announcements wait too.
+/// With a timeout of 500 ms, the replicas' transport needs two timeouts before it reconnects, and so does the
+/// reply on its way back. A leader's lease is 600 ms, so it expires, and pre-votes and votes hit the same
+/// connections. A worker's lease is 4 s and its last renewal may be 1 s old: after the election about 1 s is
+/// left for the new leader's first poll and renewal, which one more unresponsive connection uses up. Workers
+/// meanwhile try another control VM and leave connections behind. If each of those occupies a server thread
+/// for 60 s, announcements have to wait, too.
 ///
-/// Cause: the limits of calls were chosen one by one, none against the lease or the caller's timeout that it
-/// has to fit into twice: once for the silent connection, once for the new one.
-///
-/// What settled it, with three replicas, a leader, a worker and a server behind a relay that goes silent:
-/// - No acting leader for more than 1 s after 8 of 12 silences, 1.3 to 2.1 s; in the replicas' log,
-/// candidates
-///   of one term for 1.6 s before anyone had the votes of the next.
-/// - A call to the leader used its whole 800 ms on the silent connection, two times of three.
-/// - A worker whose connections went silent twice in a row was asked with success 2.8 s later: 4.45 s with
-/// the
-///   age of its last renewal, the leader's pauses and a reserve, of a lease of 4 s.
-/// - A server whose four threads were held by connections that had been left answered nothing within 4 s.
+/// Measured with such timeouts, three replicas, a leader, a worker and a server behind a relay that stops
+/// forwarding:
+/// - No acting leader for 1.3 to 2.1 s after 8 of 12 interruptions. Candidates of one term needed 1.6 s until
+///   one of them won the next term.
+/// - 2 of 3 calls to the leader used their whole 800 ms on the unresponsive connection.
+/// - A worker whose connections became unresponsive twice in a row was polled successfully only 2.8 s later.
+///   With the age of its last renewal, the leader's pauses and a reserve that is 4.45 s; its lease is 4 s.
+/// - A server with four threads, all occupied by abandoned connections, replied to nothing within 4 s.
 
 #include "plumspoke/dispatch/dispatcher.hpp"
 #include "plumspoke/http/client.hpp"
@@ -49,7 +44,7 @@
 namespace
 {
 
-/// @brief Milliseconds since a time.
+/// @brief Milliseconds elapsed since a time.
 std::int64_t elapsed_ms(time_point started_at)
 {
     return std::chrono::duration_cast<milliseconds>(std::chrono::steady_clock::now() - started_at).count();
@@ -83,7 +78,7 @@
 
 // ---- replicas ----------------------------------------------------------------------------------
 
-/// @brief Keeps nothing.
+/// @brief A state machine without state.
 class empty_machine final : public replica::state_machine
 {
   public:
@@ -100,7 +95,7 @@
     }
 };
 
-/// @brief One replica that the others reach through a relay.
+/// @brief One replica that the others connect to through a relay.
 class replica_process
 {
   public:
@@ -148,7 +143,7 @@
     std::unique_ptr<replica::driver> runner;
 };
 
-/// @brief A group of three in a folder of its own.
+/// @brief A group of three replicas in a temporary folder.
 class test_cluster
 {
   public:
@@ -184,7 +179,7 @@
                            });
     }
 
-    /// @brief The longest time without an acting leader within a span from now on.
+    /// @brief The longest time without an acting leader, observed for `span` from now on.
     [[nodiscard]] std::int64_t longest_leaderless_ms(milliseconds span) const
     {
         const time_point end = std::chrono::steady_clock::now() + span;
@@ -205,9 +200,9 @@
     std::filesystem::path folder_;
 };
 
-// ---- a leader that answers ---------------------------------------------------------------------
+// ---- leader ------------------------------------------------------------------------------------
 
-/// @brief Leads, and takes every relayed announcement.
+/// @brief Always the acting leader; accepts every relayed announcement.
 class accepting_leader final : public wire::JobControl::Service
 {
   public:
@@ -228,7 +223,7 @@
     }
 };
 
-/// @brief A call of a caller who waits for so long; whether it was answered.
+/// @brief Makes a call through the link; returns whether it was answered within the limit.
 bool relay_within(job_server::leader_link& link, milliseconds limit)
 {
     const auto attempt = [](job_server::control_channel& to, duration left)
@@ -242,9 +237,9 @@
     return link.call(std::chrono::steady_clock::now() + limit, attempt) == job_server::call_end::answered;
 }
 
-// ---- a worker that answers ---------------------------------------------------------------------
+// ---- worker ------------------------------------------------------------------------------------
 
-/// @brief Polls as plain paths.
+/// @brief Encodes a poll as a path that contains its wait in milliseconds.
 class path_protocol final : public protocol::worker_protocol
 {
   public:
@@ -274,7 +269,7 @@
 
 } // namespace
 
-TEST_CASE("a leader goes on when all connections between replicas go silent")
+TEST_CASE("a group has a leader again soon after all connections between replicas become unresponsive")
 {
     test_cluster cluster;
     REQUIRE(holds_within(seconds(10),
@@ -282,19 +277,19 @@
                          {
                              return cluster.has_leader();
                          }));
-    CHECK(cluster.longest_leaderless_ms(seconds(2)) < 100); // all is calm, and every connection is in use
+    CHECK(cluster.longest_leaderless_ms(seconds(2)) < 100); // also opens every connection
     for (int round = 0; round < 3; ++round)
     {
         for (replica_process& one : cluster.all)
         {
             one.relay.go_silent();
         }
-        // A worker's last renewal may be 1 s old, its lease is 4 s, and a new leader asks it twice.
+        // A worker's last renewal may be 1 s old, its lease is 4 s, and a new leader has to poll it twice.
         CHECK(cluster.longest_leaderless_ms(seconds(4)) < 1000);
     }
 }
 
-TEST_CASE("a call to the leader is answered in time though its connection is silent")
+TEST_CASE("a call to the leader is answered in time although its connection is unresponsive")
 {
     accepting_leader service;
     const std::string address = test::free_address();
@@ -310,7 +305,7 @@
                                      return std::vector<std::string>{relay.address()};
                                  });
     link.start();
-    // What operators and workers are answered within, before they go on to another control VM.
+    // After this time operators and workers try another control VM.
     constexpr auto answer_limit = milliseconds(800);
     REQUIRE(relay_within(link, seconds(5)));
     for (int round = 0; round < 3; ++round)
@@ -323,7 +318,7 @@
     server->Shutdown(std::chrono::system_clock::now() + milliseconds(100));
 }
 
-TEST_CASE("a server ends connections whose other end is silent, also those without calls")
+TEST_CASE("a server closes connections whose peer is unresponsive, also those without calls")
 {
     accepting_leader service;
     const std::string address = test::free_address();
@@ -338,7 +333,7 @@
     REQUIRE(asking.connect(seconds(5)));
     std::this_thread::sleep_for(job_server::ask_silent_peer_after + seconds(1));
     REQUIRE(asking.connect(milliseconds(100)));
-    CHECK(relay.connections() == 1); // a connection that answers is kept
+    CHECK(relay.connections() == 1); // a responsive connection is kept
     relay.go_silent();
     CHECK_FALSE(relay.target_ended_silent_ones());
     CHECK(holds_within(job_server::ask_silent_peer_after + job_server::silent_peer_answer_limit + seconds(3),
@@ -349,7 +344,7 @@
     server->Shutdown(std::chrono::system_clock::now() + milliseconds(100));
 }
 
-TEST_CASE("a worker's lease is renewed in time though its connections go silent twice in a row")
+TEST_CASE("a worker's lease is renewed in time although its connections become unresponsive twice in a row")
 {
     http::server_options options;
     options.address = test::free_address();
@@ -383,24 +378,24 @@
     };
     const dispatch::dispatch_options limits;
     REQUIRE(poll(0));
-    REQUIRE(poll(limits.poll_wait.count())); // its lease was given before it waited
+    REQUIRE(poll(limits.poll_wait.count())); // the lease was granted before the poll waited
     const time_point silent_at = std::chrono::steady_clock::now();
     relay.go_silent();
     CHECK_FALSE(poll(limits.poll_wait.count()));
-    // A worker that didn't answer is asked again at once, without waiting; it answers on a new connection,
-    // which goes silent before the lease is renewed.
+    // A worker that did not reply is polled again at once, without a wait. It replies on a new connection,
+    // which becomes unresponsive before the lease is renewed.
     REQUIRE(poll(0));
     relay.go_silent();
     CHECK_FALSE(poll(0));
     REQUIRE(poll(0));
-    const std::int64_t pauses_ms = 150; // the leader's, before it asks again
+    const std::int64_t pauses_ms = 150; // of the leader, before it polls again
     const std::int64_t reserve_ms = 500;
     const std::int64_t lease_ms = std::chrono::duration_cast<milliseconds>(limits.lease).count();
     CHECK(limits.poll_wait.count() + elapsed_ms(silent_at) + pauses_ms + reserve_ms < lease_ms);
     caller.reset();
 }
 
-TEST_CASE("connections that callers have left don't keep a control VM's threads")
+TEST_CASE("abandoned connections do not occupy the threads of a control VM")
 {
     const settings::job_settings read = default_control_settings();
     http::server_options options;
@@ -418,10 +413,10 @@
         return ::send(open.back(), asked.data(), asked.size(), MSG_NOSIGNAL) > 0 &&
                ::recv(open.back(), &first, 1, 0) == 1;
     };
-    SECTION("all workers of a large fleet are answered at one control VM, though each leaves its connection")
+    SECTION("one control VM replies to all workers of a large fleet, although each abandons its connection")
     {
         constexpr int workers = 490;
-        constexpr auto timeout = milliseconds(1000); // a worker's, before it goes on to another control VM
+        constexpr auto timeout = milliseconds(1000); // of a worker, before it tries another control VM
         http::server server(options, &answer_after_wait);
         REQUIRE(server.start());
         int answered = 0;
@@ -431,7 +426,7 @@
         }
         CHECK(answered == workers);
     }
-    SECTION("a thread is free again before a worker's lease is over")
+    SECTION("a thread is free again before a worker's lease expires")
     {
         options.threads = 4;
         http::server server(options, &answer_after_wait);
--- a/tests/world/replica_simulation.cpp
+++ b/tests/world/replica_simulation.cpp
@@ -12,7 +12,7 @@
 {
 
 constexpr auto tick_interval = milliseconds(5);
-constexpr auto connection_refused_delay = milliseconds(5); // a connection to a process that isn't there yet
+constexpr auto connection_refused_delay = milliseconds(5); // while the VM is up, but its process is not
 constexpr auto membership_interval = milliseconds(200);
 constexpr auto join_interval = milliseconds(500);
 constexpr std::size_t snapshot_interval_step = 100;
@@ -31,15 +31,15 @@
 
 } // namespace
 
-/// @brief Snapshots from one VM to another.
+/// @brief Snapshot transfers from one VM to another.
 struct replica_simulation::snapshot_channel
 {
     snapshot_queue queue;
-    std::uint64_t transfer = 0; // rises with each, so that a cancelled one is told apart
+    std::uint64_t transfer = 0; // number of the current transfer; identifies cancelled ones
     bool busy = false;
 };
 
-/// @brief One control VM: what its disk holds, and its process.
+/// @brief One control VM with its disk and its process.
 struct replica_simulation::vm
 {
     std::string address;
@@ -47,12 +47,12 @@
     member_id id;
     restored_state disk;
     std::unique_ptr<node> process; // empty: down
-    std::uint64_t incarnation = 0; // rises with each start and stop
+    std::uint64_t incarnation = 0; // incremented with each start and stop
     join_requests joining;
     snapshot_schedule snapshots;
     log_index applied = 0;
     time_point busy_until{};
-    time_point link_idle_at{}; // of the snapshots that it sends
+    time_point link_idle_at{}; // when the queued snapshot transfers are done
     time_point next_join_check{};
     time_point next_join{};
     double fractional_entries = 0;
@@ -137,11 +137,11 @@
         join_requested_at_.erase(of.id);
         of.disk = {};
         of.id = of.address + "." + std::to_string(of.incarnation);
-        ++outcome_.disks_lost;
+        ++result_.disks_lost;
     }
     if (of.process == nullptr)
     {
-        return; // it starts when it would have
+        return; // its restart is already scheduled
     }
     of.process.reset();
     ++of.incarnation;
@@ -187,8 +187,8 @@
         }
         record_regained_votes();
     }
-    outcome_.committed = committed_.size();
-    return outcome_;
+    result_.committed = committed_.size();
+    return result_;
 }
 
 void replica_simulation::schedule(time_point at, std::function<void()> action)
@@ -372,7 +372,7 @@
     }
     on.busy = true;
     ++on.transfer;
-    ++outcome_.snapshots_sent;
+    ++result_.snapshots_sent;
     time_point ends =
         now_ + (random_() % 2 == 0 ? load_.connect_timeout : duration(connection_refused_delay));
     if (to.process != nullptr)
@@ -407,7 +407,7 @@
              });
 }
 
-// ---- promises ----------------------------------------------------------------------------------
+// ---- invariants --------------------------------------------------------------------------------
 
 void replica_simulation::check_committed(vm& of, const std::vector<log_entry>& committed)
 {
@@ -417,15 +417,15 @@
         const auto [found, added] = committed_.try_emplace(one.index, one.term);
         if (!added && found->second != one.term)
         {
-            outcome_.violations.push_back(of.address + " has committed another entry " +
-                                          std::to_string(one.index));
+            result_.violations.push_back(of.address + " committed a different entry " +
+                                         std::to_string(one.index));
         }
     }
     if (of.process->holds_lease(now_) && !committed_.empty() &&
         of.process->last_index() < committed_.rbegin()->first)
     {
-        outcome_.violations.push_back(of.address + " leads without entry " +
-                                      std::to_string(committed_.rbegin()->first));
+        result_.violations.push_back(of.address + " holds a lease without entry " +
+                                     std::to_string(committed_.rbegin()->first));
     }
 }
 
@@ -442,8 +442,8 @@
                       const bool votes = current_leader->process->members().is_voter(one.first);
                       if (votes)
                       {
-                          ++outcome_.votes_regained;
-                          outcome_.vote_delays.push_back(
+                          ++result_.votes_regained;
+                          result_.vote_delays.push_back(
                               std::chrono::duration_cast<duration>(now_ - one.second));
                       }
                       return votes;
--- a/tests/world/replica_simulation.hpp
+++ b/tests/world/replica_simulation.hpp
@@ -1,10 +1,10 @@
 #pragma once
 
 /// @file
-/// @brief A group of control VMs that lose disks, power and leaders, in virtual time.
+/// @brief Simulates a group of control VMs that lose disks, power and leaders, in virtual time.
 ///
-/// Node, membership changes, join requests, snapshot schedule and snapshot queues are the product's own; the
-/// loop that joins them follows the driver's.
+/// Uses the production code of nodes, membership changes, join requests, snapshot schedules and snapshot
+/// queues. The loop that connects them imitates the driver.
 
 #include "plumspoke/replica/join_requests.hpp"
 #include "plumspoke/replica/membership_change.hpp"
@@ -22,33 +22,33 @@
 namespace plumspoke::test
 {
 
-/// @brief Times and sizes of a group.
+/// @brief Load, latencies and sizes of a simulated group.
 struct simulation_load
 {
     std::size_t vms = 5;
     double entries_per_s = 300;
     std::size_t snapshot_interval = 2000; // entries
     duration link_delay = milliseconds(2);
-    duration max_jitter = milliseconds(4);         // of a message, on top of the delay
-    duration sync_time = milliseconds(6);          // of a disk
-    duration save_time = milliseconds(40);         // of a snapshot; the replica does nothing else meanwhile
-    duration install_time = milliseconds(60);      // of a snapshot, likewise
-    duration transfer_time = milliseconds(400);    // of a snapshot to one member, alone on the sender's link
-    duration connect_timeout = milliseconds(2000); // of a snapshot's connection to a VM that is down
+    duration max_jitter = milliseconds(4);         // per message, in addition to the delay
+    duration sync_time = milliseconds(6);          // per sync of a disk
+    duration save_time = milliseconds(40);         // per snapshot; blocks the replica
+    duration install_time = milliseconds(60);      // per snapshot; blocks the replica
+    duration transfer_time = milliseconds(400);    // per snapshot, on an otherwise idle link of the sender
+    duration connect_timeout = milliseconds(2000); // of a connection for a snapshot to a VM that is down
 };
 
-/// @brief What a world saw.
+/// @brief Outcome of a simulation.
 struct simulation_result
 {
-    std::vector<std::string> broken;   // a broken promise is a sentence
-    std::vector<duration> vote_delays; // from a new disk's first request to its vote
+    std::vector<std::string> violations; // descriptions of violated invariants
+    std::vector<duration> vote_delays;   // from a new disk's first join request until it is a voter
     std::size_t disks_lost = 0;
     std::size_t votes_regained = 0;
-    std::size_t snapshots_sent = 0; // calls that were begun
+    std::size_t snapshots_sent = 0; // calls started
     std::size_t committed = 0;
 };
 
-/// @brief Control VMs, the links between them, and what happens to them.
+/// @brief A group of control VMs, the links between them, and scheduled faults.
 class replica_simulation
 {
   public:
@@ -57,15 +57,17 @@
     replica_simulation& operator=(const replica_simulation&) = delete;
     ~replica_simulation();
 
-    /// @name faults, at a time since the beginning
+    /// @name faults, at a time since the start
     /// @{
     void lose_disk(duration at, std::size_t vm, duration down_for);
     void lose_power(duration at, std::size_t vm, duration down_for);
 
-    /// @brief Kills the leader of that moment.
+    /// @brief Kills the VM that is the leader at that time.
     void kill_leader(duration at, duration down_for);
 
-    /// @brief Messages from or to this VM take so much longer for a while.
+    /// @brief Delays messages from and to this VM for some time.
+    /// @param extra_delay added to each message
+    /// @param length how long the fault lasts
     void add_delay(duration at, std::size_t vm, duration extra_delay, duration length);
     /// @}
 
@@ -101,8 +103,8 @@
     std::map<std::pair<time_point, std::uint64_t>, std::function<void()>> events_;
     std::vector<std::unique_ptr<vm>> vms_;
     std::map<replica::log_index, replica::term_number> committed_;
-    std::map<replica::member_id, time_point> join_requested_at_; // disks, since their first request
-    simulation_result outcome_;
+    std::map<replica::member_id, time_point> join_requested_at_; // first request, until the disk is a voter
+    simulation_result result_;
 };
 
 } // namespace plumspoke::test
