--- a/src/replica/codec.cpp
+++ b/src/replica/codec.cpp
@@ -90,9 +90,9 @@
 wire::Membership to_wire(const membership& value)
 {
     wire::Membership out;
-    for (const member& one : value.members)
+    for (const member& item : value.members)
     {
-        *out.add_members() = to_wire(one);
+        *out.add_members() = to_wire(item);
     }
     return out;
 }
@@ -100,9 +100,9 @@
 membership from_wire(const wire::Membership& value)
 {
     membership out;
-    for (const wire::Member& one : value.members())
+    for (const wire::Member& item : value.members())
     {
-        out.members.push_back(from_wire(one));
+        out.members.push_back(from_wire(item));
     }
     return out;
 }
--- a/src/replica/driver.cpp
+++ b/src/replica/driver.cpp
@@ -56,9 +56,9 @@
 {
     // 64-bit FNV-1a (Fowler, Noll, Vo): unlike std::hash, it is the same in every run and build.
     std::uint64_t hash = 0xcbf29ce484222325U;
-    for (const char one : id)
+    for (const char character : id)
     {
-        hash = (hash ^ static_cast<unsigned char>(one)) * 0x100000001b3U;
+        hash = (hash ^ static_cast<unsigned char>(character)) * 0x100000001b3U;
     }
     return configured - static_cast<std::size_t>(hash % (configured / 2 + 1));
 }
@@ -549,17 +549,17 @@
 
 void driver::fail_all_proposals(std::error_code error)
 {
-    std::map<log_index, pending_proposal> sent = std::exchange(pending_proposals_, {});
-    std::deque<queued_proposal> waiting;
+    std::map<log_index, pending_proposal> pending = std::exchange(pending_proposals_, {});
+    std::deque<queued_proposal> queued;
     {
         const std::lock_guard lock(mutex_);
-        waiting = std::exchange(queued_proposals_, {});
+        queued = std::exchange(queued_proposals_, {});
     }
-    for (auto& [index, proposal] : sent)
+    for (auto& [index, proposal] : pending)
     {
         proposal.done({error, {}});
     }
-    for (queued_proposal& proposal : waiting)
+    for (queued_proposal& proposal : queued)
     {
         proposal.done({error, {}});
     }
@@ -649,9 +649,9 @@
     status.commit_index = node_->commit_index();
     status.applied_index = applied_index_;
     status.last_index = node_->last_index();
-    for (const member& one : status.members.members)
+    for (const member& current : status.members.members)
     {
-        status.match.push_back(node_->match_index(one.id));
+        status.match.push_back(node_->match_index(current.id));
     }
     status.membership_pending = node_->membership_change_pending();
     status.lease_end = node_->lease_end();
--- a/src/replica/grpc_transport.cpp
+++ b/src/replica/grpc_transport.cpp
@@ -401,9 +401,9 @@
                          const wire::ReplicaBatch* request,
                          wire::Ack* /*reply*/) override
     {
-        for (const wire::ReplicaMessage& one : request->messages())
+        for (const wire::ReplicaMessage& item : request->messages())
         {
-            std::optional<message> received = from_wire(one);
+            std::optional<message> received = from_wire(item);
             if (!received.has_value())
             {
                 return {grpc::StatusCode::INVALID_ARGUMENT,
--- a/src/replica/join_requests.cpp
+++ b/src/replica/join_requests.cpp
@@ -17,9 +17,9 @@
 {
     const auto found = std::find_if(requests_.begin(),
                                     requests_.end(),
-                                    [&joining](const request& one)
+                                    [&joining](const request& existing)
                                     {
-                                        return one.joining.name == joining.name;
+                                        return existing.joining.name == joining.name;
                                     });
     if (found != requests_.end() && found->joining.id == joining.id)
     {
@@ -36,16 +36,16 @@
 std::vector<member> join_requests::pending(time_point now, const membership& present)
 {
     std::erase_if(requests_,
-                  [now, &present](const request& one)
+                  [now, &present](const request& existing)
                   {
-                      return now > one.received_at + request_lifetime ||
-                             present.find(one.joining.id) != nullptr;
+                      return now > existing.received_at + request_lifetime ||
+                             present.find(existing.joining.id) != nullptr;
                   });
     std::vector<member> out;
     out.reserve(requests_.size());
-    for (const request& one : requests_)
+    for (const request& existing : requests_)
     {
-        out.push_back(one.joining);
+        out.push_back(existing.joining);
     }
     return out;
 }
--- a/src/replica/membership_change.cpp
+++ b/src/replica/membership_change.cpp
@@ -38,13 +38,13 @@
 bool has_successor(const membership& all, const member& old, bool by_voter)
 {
     bool after = false;
-    for (const member& one : all.members)
+    for (const member& other : all.members)
     {
-        if (after && one.name == old.name && one.id != old.id && (one.voter || !by_voter))
+        if (after && other.name == old.name && other.id != old.id && (other.voter || !by_voter))
         {
             return true;
         }
-        after = after || one.id == old.id;
+        after = after || other.id == old.id;
     }
     return false;
 }
@@ -55,17 +55,17 @@
 {
     const member* longest_silent = nullptr;
     duration longest_silence = options.voter_replacement_timeout;
-    for (const member& one : leader.members().members)
+    for (const member& current : leader.members().members)
     {
-        const duration since_reply = time_since_reply(leader, one, now);
-        if (one.voter && has_successor(leader.members(), one, false) &&
+        const duration since_reply = time_since_reply(leader, current, now);
+        if (current.voter && has_successor(leader.members(), current, false) &&
             since_reply > options.election_timeout)
         {
-            return &one;
+            return &current;
         }
-        if (one.voter && since_reply > longest_silence)
+        if (current.voter && since_reply > longest_silence)
         {
-            longest_silent = &one;
+            longest_silent = &current;
             longest_silence = since_reply;
         }
     }
@@ -104,9 +104,9 @@
     const auto remove = [&changed](const member_id& id)
     {
         std::erase_if(changed.members,
-                      [&id](const member& one)
+                      [&id](const member& current)
                       {
-                          return one.id == id;
+                          return current.id == id;
                       });
         return changed;
     };
@@ -132,10 +132,10 @@
 add_learner(const node& leader, std::span<const member> joining, time_point now, const node_options& options)
 {
     membership changed = leader.members();
-    for (const member& one : joining)
+    for (const member& candidate : joining)
     {
-        const bool known = changed.find(one.id) != nullptr;
-        const member* same_name = changed.find_name(one.name);
+        const bool known = changed.find(candidate.id) != nullptr;
+        const member* same_name = changed.find_name(candidate.name);
         const bool name_in_use =
             same_name != nullptr &&
             (same_name->id == leader.id() ||
@@ -143,11 +143,11 @@
         if (!known && !name_in_use)
         {
             std::erase_if(changed.members,
-                          [&one](const member& other)
+                          [&candidate](const member& other)
                           {
-                              return other.name == one.name && !other.voter;
+                              return other.name == candidate.name && !other.voter;
                           });
-            changed.members.push_back({one.id, one.name, one.address, false});
+            changed.members.push_back({candidate.id, candidate.name, candidate.address, false});
             return changed;
         }
     }
--- a/src/replica/message.cpp
+++ b/src/replica/message.cpp
@@ -31,9 +31,9 @@
 {
     return static_cast<std::size_t>(std::count_if(members.begin(),
                                                   members.end(),
-                                                  [](const member& one)
+                                                  [](const member& candidate)
                                                   {
-                                                      return one.voter;
+                                                      return candidate.voter;
                                                   }));
 }
 
--- a/src/replica/node.cpp
+++ b/src/replica/node.cpp
@@ -60,9 +60,9 @@
 {
     const auto newest = std::find_if(log_.rbegin(),
                                      log_.rend(),
-                                     [index](const log_entry& one)
+                                     [index](const log_entry& entry)
                                      {
-                                         return one.kind == entry_kind::membership && one.index <= index;
+                                         return entry.kind == entry_kind::membership && entry.index <= index;
                                      });
     return newest == log_.rend() ? base_members_ : newest->members;
 }
@@ -96,18 +96,18 @@
 std::vector<time_point> node::voter_acknowledgements(time_point own) const
 {
     std::vector<time_point> times;
-    for (const member& one : members_.members)
+    for (const member& current : members_.members)
     {
-        if (!one.voter)
+        if (!current.voter)
         {
             continue;
         }
-        if (one.id == id_)
+        if (current.id == id_)
         {
             times.push_back(own);
             continue;
         }
-        const auto found = peers_.find(one.id);
+        const auto found = peers_.find(current.id);
         times.push_back(found == peers_.end() ? time_point{} : found->second.acknowledged_sent_at);
     }
     std::sort(times.begin(), times.end(), std::greater<>());
--- a/src/replica/node_election.cpp
+++ b/src/replica/node_election.cpp
@@ -60,9 +60,9 @@
 {
     const auto granted = std::count_if(members_.members.begin(),
                                        members_.members.end(),
-                                       [&votes](const member& one)
+                                       [&votes](const member& current)
                                        {
-                                           return one.voter && votes.contains(one.id);
+                                           return current.voter && votes.contains(current.id);
                                        });
     return static_cast<std::size_t>(granted) > members_.voter_count() / 2;
 }
@@ -101,12 +101,12 @@
         start_election(now);
         return;
     }
-    for (const member& one : members_.members)
+    for (const member& current : members_.members)
     {
-        if (one.voter && one.id != id_)
+        if (current.voter && current.id != id_)
         {
             messages_.push_back(
-                {id_, one.id, hard_.term + 1, pre_vote{last_index(), *term_at(last_index())}});
+                {id_, current.id, hard_.term + 1, pre_vote{last_index(), *term_at(last_index())}});
         }
     }
 }
@@ -125,11 +125,11 @@
         become_leader(now);
         return;
     }
-    for (const member& one : members_.members)
+    for (const member& current : members_.members)
     {
-        if (one.voter && one.id != id_)
+        if (current.voter && current.id != id_)
         {
-            send(one.id, vote{last_index(), *term_at(last_index())});
+            send(current.id, vote{last_index(), *term_at(last_index())});
         }
     }
 }
@@ -144,11 +144,11 @@
     peers_.clear();
     term_start_index_ = last_index() + 1;
     append_local(log_entry{});
-    for (const member& one : members_.members)
+    for (const member& current : members_.members)
     {
-        if (one.id != id_)
+        if (current.id != id_)
         {
-            peers_[one.id].next = last_index();
+            peers_[current.id].next = last_index();
         }
     }
     next_heartbeat_ = now + options_.heartbeat_interval;
--- a/src/replica/node_replication.cpp
+++ b/src/replica/node_replication.cpp
@@ -172,9 +172,9 @@
     members_index_ = base_index_;
     const auto newest = std::find_if(log_.rbegin(),
                                      log_.rend(),
-                                     [](const log_entry& one)
+                                     [](const log_entry& entry)
                                      {
-                                         return one.kind == entry_kind::membership;
+                                         return entry.kind == entry_kind::membership;
                                      });
     if (newest != log_.rend())
     {
@@ -190,11 +190,11 @@
                   {
                       return members_.find(peer.first) == nullptr;
                   });
-    for (const member& one : members_.members)
+    for (const member& current : members_.members)
     {
-        if (one.id != id_ && !peers_.contains(one.id))
+        if (current.id != id_ && !peers_.contains(current.id))
         {
-            peers_[one.id].next = last_index();
+            peers_[current.id].next = last_index();
         }
     }
 }
@@ -202,11 +202,11 @@
 void node::advance_commit()
 {
     std::vector<log_index> matches;
-    for (const member& one : members_.members)
+    for (const member& current : members_.members)
     {
-        if (one.voter)
+        if (current.voter)
         {
-            matches.push_back(match_index(one.id));
+            matches.push_back(match_index(current.id));
         }
     }
     if (matches.empty())
--- a/tests/src/unit-lost_disks.cpp
+++ b/tests/src/unit-lost_disks.cpp
@@ -28,9 +28,9 @@
 {
     INFO("seed " << seed << ", " << result.snapshots_sent << " snapshots, " << result.committed
                  << " committed");
-    for (const std::string& one : result.violations)
+    for (const std::string& violation : result.violations)
     {
-        UNSCOPED_INFO(one);
+        UNSCOPED_INFO(violation);
     }
     CHECK(result.violations.empty());
     CHECK(result.votes_regained == result.disks_lost);
@@ -39,9 +39,9 @@
 void check_vote_delays(const simulation_result& result, std::uint64_t seed)
 {
     INFO("seed " << seed << ", " << result.snapshots_sent << " snapshots");
-    for (const duration one : result.vote_delays)
+    for (const duration delay : result.vote_delays)
     {
-        CHECK(one <= vote_limit);
+        CHECK(delay <= vote_limit);
     }
 }
 
--- a/tests/src/unit-replica_busy_state.cpp
+++ b/tests/src/unit-replica_busy_state.cpp
@@ -37,16 +37,16 @@
         const std::lock_guard lock(mutex_);
         targets_[address] = &target;
     }
-    void set_cut(const std::string& address, bool off)
+    void set_disconnected(const std::string& address, bool disconnected)
     {
         const std::lock_guard lock(mutex_);
-        off ? (void)cut_.insert(address) : (void)cut_.erase(address);
+        disconnected ? (void)disconnected_.insert(address) : (void)disconnected_.erase(address);
     }
     void deliver(const std::string& from, const std::string& to, const message& sent)
     {
         const std::lock_guard lock(mutex_);
         const auto found = targets_.find(to);
-        if (found != targets_.end() && !cut_.contains(from) && !cut_.contains(to))
+        if (found != targets_.end() && !disconnected_.contains(from) && !disconnected_.contains(to))
         {
             found->second->receive(sent);
         }
@@ -55,7 +55,7 @@
   private:
     std::mutex mutex_;
     std::map<std::string, driver*> targets_;
-    std::set<std::string> cut_;
+    std::set<std::string> disconnected_;
 };
 
 class local_transport final : public transport
@@ -109,14 +109,15 @@
         const membership members{{{"a", "a", "a", true}, {"b", "b", "b", true}, {"c", "c", "c", true}}};
         for (std::size_t i = 0; i < replicas.size(); ++i)
         {
-            test_replica& one = replicas[i];
-            one.name = members.members[i].id;
-            one.disk = std::make_unique<storage>(folder_ / one.name);
-            REQUIRE_FALSE(one.disk->initialize(one.name, members));
-            one.sender = std::make_unique<local_transport>(network, one.name);
-            one.runner = std::make_unique<driver>(options, *one.disk, one.machine, *one.sender);
-            REQUIRE_FALSE(one.runner->start(one.name));
-            network.add(one.name, *one.runner);
+            test_replica& current = replicas[i];
+            current.name = members.members[i].id;
+            current.disk = std::make_unique<storage>(folder_ / current.name);
+            REQUIRE_FALSE(current.disk->initialize(current.name, members));
+            current.sender = std::make_unique<local_transport>(network, current.name);
+            current.runner =
+                std::make_unique<driver>(options, *current.disk, current.machine, *current.sender);
+            REQUIRE_FALSE(current.runner->start(current.name));
+            network.add(current.name, *current.runner);
         }
         REQUIRE(holds_within(seconds(10),
                              [this]
@@ -128,20 +129,20 @@
     test_cluster& operator=(const test_cluster&) = delete;
     ~test_cluster()
     {
-        for (test_replica& one : replicas)
+        for (test_replica& current : replicas)
         {
-            one.runner->stop();
+            current.runner->stop();
         }
         std::filesystem::remove_all(folder_);
     }
 
     [[nodiscard]] test_replica* find_leader()
     {
-        for (test_replica& one : replicas)
+        for (test_replica& current : replicas)
         {
-            if (one.runner->holds_lease(std::chrono::steady_clock::now()))
+            if (current.runner->holds_lease(std::chrono::steady_clock::now()))
             {
-                return &one;
+                return &current;
             }
         }
         return nullptr;
@@ -216,7 +217,7 @@
     test_cluster cluster;
     test_replica& leader = *cluster.find_leader();
     std::future<proposal_result> committed;
-    std::future<proposal_result> after_cut;
+    std::future<proposal_result> after_disconnect;
     leader.machine.read(
         [&](const jobs::store&)
         {
@@ -227,8 +228,8 @@
                                {
                                    return leader.runner->status().commit_index > before;
                                }));
-            cluster.network.set_cut(leader.name, true);
-            after_cut = propose(*leader.runner);
+            cluster.network.set_disconnected(leader.name, true);
+            after_disconnect = propose(*leader.runner);
             CHECK(holds_within(seconds(3),
                                [&]
                                {
@@ -237,9 +238,9 @@
             CHECK_FALSE(is_answered(committed));
         });
     REQUIRE(committed.wait_for(answer_timeout) == std::future_status::ready);
-    REQUIRE(after_cut.wait_for(answer_timeout) == std::future_status::ready);
+    REQUIRE(after_disconnect.wait_for(answer_timeout) == std::future_status::ready);
     CHECK_FALSE(committed.get().error);
-    CHECK(after_cut.get().error == make_error_code(errc::lost_leadership));
+    CHECK(after_disconnect.get().error == make_error_code(errc::lost_leadership));
 }
 
 TEST_CASE("a follower whose state is locked restores a snapshot and the entries after it in order")
@@ -253,9 +254,9 @@
     {
         REQUIRE_FALSE(leader.runner->propose_and_wait(make_record(), answer_timeout).error);
     };
-    const auto decide = [&leader](const jobs::command& what)
+    const auto apply_command = [&leader](const jobs::command& command)
     {
-        const proposal_result result = leader.runner->propose_and_wait(jobs::encode(what), answer_timeout);
+        const proposal_result result = leader.runner->propose_and_wait(jobs::encode(command), answer_timeout);
         REQUIRE_FALSE(result.error);
         REQUIRE(jobs::decode_answer(result.answer).result == jobs::outcome::accepted);
     };
@@ -264,20 +265,20 @@
         {
             // This command is still queued on the follower when a snapshot arrives whose state no longer has
             // the job. Applied after the snapshot, it would restore the job.
-            jobs::submit taken_in;
-            taken_in.id = "j";
-            taken_in.spec.steps.resize(1);
-            decide(taken_in);
+            jobs::submit submission;
+            submission.id = "j";
+            submission.spec.steps.resize(1);
+            apply_command(submission);
             std::this_thread::sleep_for(milliseconds(300));
-            cluster.network.set_cut(lagging.name, true);
+            cluster.network.set_disconnected(lagging.name, true);
             for (int i = 0; i < 25; ++i)
             {
                 record();
             }
-            decide(jobs::cancel{"j", 0});
-            jobs::round forgets;
-            forgets.forgotten = {"j"};
-            decide(forgets);
+            apply_command(jobs::cancel{"j", 0});
+            jobs::round removal;
+            removal.forgotten = {"j"};
+            apply_command(removal);
             REQUIRE(leader.machine.read(
                 [](const jobs::store& state)
                 {
@@ -287,7 +288,7 @@
             {
                 record();
             }
-            cluster.network.set_cut(lagging.name, false);
+            cluster.network.set_disconnected(lagging.name, false);
             record();
             CHECK(holds_within(seconds(3),
                                [&]
--- a/tests/src/unit-replica_node.cpp
+++ b/tests/src/unit-replica_node.cpp
@@ -29,11 +29,11 @@
 
 template <typename Body> const Body* find_sent(const node_output& output, const std::string& to)
 {
-    for (const message& one : output.messages)
+    for (const message& current : output.messages)
     {
-        if (one.to == to && std::holds_alternative<Body>(one.body))
+        if (current.to == to && std::holds_alternative<Body>(current.body))
         {
-            return &std::get<Body>(one.body);
+            return &std::get<Body>(current.body);
         }
     }
     return nullptr;
--- a/tests/src/unit-replica_transport.cpp
+++ b/tests/src/unit-replica_transport.cpp
@@ -41,9 +41,9 @@
             return grpc::Status::OK;
         }
         largest_call_ = std::max(largest_call_, request->ByteSizeLong());
-        for (const wire::ReplicaMessage& one : request->messages())
+        for (const wire::ReplicaMessage& current : request->messages())
         {
-            received_.push_back(one);
+            received_.push_back(current);
         }
         changed_.notify_all();
         return grpc::Status::OK;
@@ -131,9 +131,9 @@
 {
     std::vector<term_number> out;
     out.reserve(received.size());
-    for (const wire::ReplicaMessage& one : received)
+    for (const wire::ReplicaMessage& current : received)
     {
-        out.push_back(one.term());
+        out.push_back(current.term());
     }
     return out;
 }
@@ -274,9 +274,9 @@
         const std::vector<term_number> terms = terms_of(peer.wait_for(41));
         CHECK(std::count_if(terms.begin(),
                             terms.end(),
-                            [](term_number one)
+                            [](term_number current)
                             {
-                                return one > 1;
+                                return current > 1;
                             }) == 40);
         CHECK(peer.largest_call() < 150'000);
     }
--- a/tests/src/unit-silent_connections.cpp
+++ b/tests/src/unit-silent_connections.cpp
@@ -152,9 +152,10 @@
         std::string pattern = (std::filesystem::temp_directory_path() / "plumspoke-XXXXXX").string();
         folder_ = ::mkdtemp(pattern.data());
         replica::membership members;
-        for (const replica_process& one : all)
+        for (const replica_process& current : all)
         {
-            members.members.push_back({one.relay.address(), one.relay.address(), one.relay.address(), true});
+            members.members.push_back(
+                {current.relay.address(), current.relay.address(), current.relay.address(), true});
         }
         for (std::size_t i = 0; i < all.size(); ++i)
         {
@@ -173,9 +174,9 @@
         const time_point now = std::chrono::steady_clock::now();
         return std::any_of(all.begin(),
                            all.end(),
-                           [now](const replica_process& one)
+                           [now](const replica_process& current)
                            {
-                               return one.runner->holds_lease(now);
+                               return current.runner->holds_lease(now);
                            });
     }
 
@@ -280,9 +281,9 @@
     CHECK(cluster.longest_leaderless_ms(seconds(2)) < 100); // also opens every connection
     for (int round = 0; round < 3; ++round)
     {
-        for (replica_process& one : cluster.all)
+        for (replica_process& current : cluster.all)
         {
-            one.relay.go_silent();
+            current.relay.go_silent();
         }
         // A worker's last renewal may be 1 s old, its lease is 4 s, and a new leader has to poll it twice.
         CHECK(cluster.longest_leaderless_ms(seconds(4)) < 1000);
@@ -329,10 +330,10 @@
     const std::unique_ptr<grpc::Server> server = builder.BuildAndStart();
     REQUIRE(server != nullptr);
     test::silent_relay relay(address);
-    job_server::control_channel asking(relay.address());
-    REQUIRE(asking.connect(seconds(5)));
+    job_server::control_channel channel(relay.address());
+    REQUIRE(channel.connect(seconds(5)));
     std::this_thread::sleep_for(job_server::ask_silent_peer_after + seconds(1));
-    REQUIRE(asking.connect(milliseconds(100)));
+    REQUIRE(channel.connect(milliseconds(100)));
     CHECK(relay.connections() == 1); // a responsive connection is kept
     relay.go_silent();
     CHECK_FALSE(relay.target_ended_silent_ones());
@@ -402,16 +403,16 @@
     options.address = test::free_address();
     options.threads = read.http_threads;
     options.keep_alive_ms = read.keep_alive_ms;
-    const std::string asked = "GET /0 HTTP/1.1\r\nHost: x\r\n\r\n";
-    std::vector<int> open;
+    const std::string request_text = "GET /0 HTTP/1.1\r\nHost: x\r\n\r\n";
+    std::vector<int> sockets;
     const auto is_answered_within = [&](milliseconds limit)
     {
-        open.push_back(test::connect_to(options.address));
+        sockets.push_back(test::connect_to(options.address));
         const timeval timeout_value{limit.count() / 1000, limit.count() % 1000 * 1000};
-        ::setsockopt(open.back(), SOL_SOCKET, SO_RCVTIMEO, &timeout_value, sizeof timeout_value);
+        ::setsockopt(sockets.back(), SOL_SOCKET, SO_RCVTIMEO, &timeout_value, sizeof timeout_value);
         char first = 0;
-        return ::send(open.back(), asked.data(), asked.size(), MSG_NOSIGNAL) > 0 &&
-               ::recv(open.back(), &first, 1, 0) == 1;
+        return ::send(sockets.back(), request_text.data(), request_text.size(), MSG_NOSIGNAL) > 0 &&
+               ::recv(sockets.back(), &first, 1, 0) == 1;
     };
     SECTION("one control VM replies to all workers of a large fleet, although each abandons its connection")
     {
@@ -437,8 +438,8 @@
         }
         CHECK(is_answered_within(milliseconds(read.worker_lease_ms)));
     }
-    for (const int one : open)
+    for (const int descriptor : sockets)
     {
-        ::close(one);
+        ::close(descriptor);
     }
 }
--- a/tests/world/replica_simulation.cpp
+++ b/tests/world/replica_simulation.cpp
@@ -70,14 +70,14 @@
         const std::string address = "vm" + std::to_string(i);
         all.members.push_back({address + ".first", address, address, true});
     }
-    for (const member& one : all.members)
+    for (const member& current : all.members)
     {
-        auto made = std::make_unique<vm>();
-        made->address = one.address;
-        made->snapshot_interval = load.snapshot_interval - snapshot_interval_step * vms_.size();
-        made->id = one.id;
-        made->disk.base.members = all;
-        vms_.push_back(std::move(made));
+        auto new_vm = std::make_unique<vm>();
+        new_vm->address = current.address;
+        new_vm->snapshot_interval = load.snapshot_interval - snapshot_interval_step * vms_.size();
+        new_vm->id = current.id;
+        new_vm->disk.base.members = all;
+        vms_.push_back(std::move(new_vm));
         start(*vms_.back());
     }
 }
@@ -181,9 +181,9 @@
             const auto next = events_.extract(events_.begin());
             next.mapped()();
         }
-        for (const std::unique_ptr<vm>& one : vms_)
+        for (const std::unique_ptr<vm>& current : vms_)
         {
-            step(*one);
+            step(*current);
         }
         record_regained_votes();
     }
@@ -298,9 +298,9 @@
     if (output.truncate_from != 0)
     {
         std::erase_if(of.disk.entries,
-                      [&output](const log_entry& one)
+                      [&output](const log_entry& entry)
                       {
-                          return one.index >= output.truncate_from;
+                          return entry.index >= output.truncate_from;
                       });
     }
     of.disk.entries.insert(of.disk.entries.end(), output.entries.begin(), output.entries.end());
@@ -411,14 +411,14 @@
 
 void replica_simulation::check_committed(vm& of, const std::vector<log_entry>& committed)
 {
-    for (const log_entry& one : committed)
+    for (const log_entry& entry : committed)
     {
-        of.applied = one.index;
-        const auto [found, added] = committed_.try_emplace(one.index, one.term);
-        if (!added && found->second != one.term)
+        of.applied = entry.index;
+        const auto [found, added] = committed_.try_emplace(entry.index, entry.term);
+        if (!added && found->second != entry.term)
         {
             result_.violations.push_back(of.address + " committed a different entry " +
-                                         std::to_string(one.index));
+                                         std::to_string(entry.index));
         }
     }
     if (of.process->holds_lease(now_) && !committed_.empty() &&
@@ -437,14 +437,14 @@
         return;
     }
     std::erase_if(join_requested_at_,
-                  [this, current_leader](const auto& one)
+                  [this, current_leader](const auto& current)
                   {
-                      const bool votes = current_leader->process->members().is_voter(one.first);
+                      const bool votes = current_leader->process->members().is_voter(current.first);
                       if (votes)
                       {
                           ++result_.votes_regained;
                           result_.vote_delays.push_back(
-                              std::chrono::duration_cast<duration>(now_ - one.second));
+                              std::chrono::duration_cast<duration>(now_ - current.second));
                       }
                       return votes;
                   });
@@ -452,11 +452,11 @@
 
 replica_simulation::vm* replica_simulation::leader()
 {
-    for (const std::unique_ptr<vm>& one : vms_)
+    for (const std::unique_ptr<vm>& current : vms_)
     {
-        if (one->process != nullptr && one->process->holds_lease(now_))
+        if (current->process != nullptr && current->process->holds_lease(now_))
         {
-            return one.get();
+            return current.get();
         }
     }
     return nullptr;
@@ -466,9 +466,9 @@
 {
     const auto found = std::find_if(vms_.begin(),
                                     vms_.end(),
-                                    [&address](const std::unique_ptr<vm>& one)
+                                    [&address](const std::unique_ptr<vm>& current)
                                     {
-                                        return one->address == address;
+                                        return current->address == address;
                                     });
     return found == vms_.end() ? nullptr : found->get();
 }
