--- a/include/plumspoke/replica/driver.hpp
+++ b/include/plumspoke/replica/driver.hpp
@@ -190,20 +190,20 @@
 
     [[nodiscard]] std::error_code enqueue(std::string& command, proposal_callback& done);
     void run();
-    void take_events(std::vector<message>& messages, std::vector<queued_proposal>& proposals);
+    void drain_events(std::vector<message>& messages, std::vector<queued_proposal>& proposals);
     void
     process_events(time_point now, std::vector<message>& messages, std::vector<queued_proposal>& proposals);
     [[nodiscard]] bool process_output(time_point now);
     void queue_output(node_output& output);
     void apply_queued(time_point until);
-    [[nodiscard]] bool install_queued(time_point until);
-    [[nodiscard]] bool apply_one(const log_entry& entry, time_point until);
+    [[nodiscard]] bool install_queued_snapshot(time_point until);
+    [[nodiscard]] bool apply_entry(const log_entry& entry, time_point until);
     [[nodiscard]] bool is_apply_queue_empty() const noexcept;
     void complete_proposal(const log_entry& entry, std::string answer);
     void fail_all_proposals(std::error_code error);
     void fail_lost_proposals();
     void fail_proposals_after(log_index last_kept);
-    [[nodiscard]] std::error_code take_snapshot_if_due(time_point until);
+    [[nodiscard]] std::error_code save_snapshot_if_due(time_point until);
     void manage_membership(time_point now);
     void publish();
     [[nodiscard]] std::error_code persist(time_point now, const node_output& output);
--- a/include/plumspoke/replica/frame.hpp
+++ b/include/plumspoke/replica/frame.hpp
@@ -21,7 +21,7 @@
 [[nodiscard]] std::string make_frame(std::string_view payload);
 
 /// @brief How the frames of a file end.
-enum class tail : std::uint8_t
+enum class tail_state : std::uint8_t
 {
     clean,
     torn,    // no valid frame follows the first invalid one: an incomplete, never acknowledged write
@@ -33,7 +33,7 @@
 {
     std::vector<std::string_view> payloads;
     std::size_t valid_size = 0; // end of the valid frames, in bytes
-    tail end = tail::clean;
+    tail_state end = tail_state::clean;
 };
 
 /// @brief Reads frames up to the first invalid one, and classifies how they end.
--- a/include/plumspoke/replica/storage.hpp
+++ b/include/plumspoke/replica/storage.hpp
@@ -108,7 +108,7 @@
 
   private:
     [[nodiscard]] std::error_code acquire_lock();
-    [[nodiscard]] std::error_code write_all(int file, std::string_view left);
+    [[nodiscard]] std::error_code write_all(int file, std::string_view remaining);
     [[nodiscard]] std::error_code write_frame(int file, std::string_view payload);
     [[nodiscard]] std::error_code write_new_file(const std::filesystem::path& path, std::string_view payload);
     [[nodiscard]] std::error_code sync(int file);
--- a/src/replica/driver.cpp
+++ b/src/replica/driver.cpp
@@ -224,7 +224,7 @@
     std::vector<queued_proposal> proposals;
     while (!stopping_)
     {
-        take_events(messages, proposals);
+        drain_events(messages, proposals);
         const time_point now = std::chrono::steady_clock::now();
         process_events(now, messages, proposals);
         manage_membership(now);
@@ -237,7 +237,7 @@
     publish();
 }
 
-void driver::take_events(std::vector<message>& messages, std::vector<queued_proposal>& proposals)
+void driver::drain_events(std::vector<message>& messages, std::vector<queued_proposal>& proposals)
 {
     std::unique_lock lock(mutex_);
     wake_.wait_for(lock,
@@ -323,7 +323,7 @@
     const time_point until = std::chrono::steady_clock::now() + tick_interval;
     apply_queued(until);
     fail_lost_proposals();
-    if (const std::error_code failed = take_snapshot_if_due(until); failed)
+    if (const std::error_code failed = save_snapshot_if_due(until); failed)
     {
         PLUMSPOKE_LOG(ERROR, log_component) << "Saving a snapshot failed. Stopping. " << failed.message();
         const std::lock_guard lock(mutex_);
@@ -457,11 +457,11 @@
 
 void driver::apply_queued(time_point until)
 {
-    if (!install_queued(until))
+    if (!install_queued_snapshot(until))
     {
         return;
     }
-    while (!apply_queue_.empty() && apply_one(apply_queue_.front(), until))
+    while (!apply_queue_.empty() && apply_entry(apply_queue_.front(), until))
     {
         apply_queue_.pop_front();
         if (std::chrono::steady_clock::now() >= until)
@@ -471,7 +471,7 @@
     }
 }
 
-bool driver::install_queued(time_point until)
+bool driver::install_queued_snapshot(time_point until)
 {
     if (!snapshot_to_install_.has_value())
     {
@@ -489,7 +489,7 @@
     return true;
 }
 
-bool driver::apply_one(const log_entry& entry, time_point until)
+bool driver::apply_entry(const log_entry& entry, time_point until)
 {
     std::optional<std::string> answer = std::string();
     if (entry.kind == entry_kind::command)
@@ -565,7 +565,7 @@
     }
 }
 
-std::error_code driver::take_snapshot_if_due(time_point until)
+std::error_code driver::save_snapshot_if_due(time_point until)
 {
     const time_point now = std::chrono::steady_clock::now();
     node_->set_snapshot_pending(snapshots_.is_fresh_snapshot_pending(now, applied_index_));
--- a/src/replica/frame.cpp
+++ b/src/replica/frame.cpp
@@ -95,7 +95,7 @@
         const std::optional<std::string_view> payload = read_frame(bytes, at);
         if (!payload.has_value())
         {
-            result.end = has_valid_frame_after(bytes, at) ? tail::damaged : tail::torn;
+            result.end = has_valid_frame_after(bytes, at) ? tail_state::damaged : tail_state::torn;
             return result;
         }
         result.payloads.push_back(*payload);
--- a/src/replica/membership_change.cpp
+++ b/src/replica/membership_change.cpp
@@ -35,12 +35,12 @@
 
 /// @brief Whether a later member has this one's name, i.e. the same VM has another disk.
 /// @note Members are ordered by when they joined, so a disk's successor comes after it.
-bool has_successor(const membership& all, const member& old, bool by_voter)
+bool has_successor(const membership& all, const member& old, bool voters_only)
 {
     bool after = false;
     for (const member& other : all.members)
     {
-        if (after && other.name == old.name && other.id != old.id && (other.voter || !by_voter))
+        if (after && other.name == old.name && other.id != old.id && (other.voter || !voters_only))
         {
             return true;
         }
@@ -112,17 +112,18 @@
     };
     for (const member& old : leader.members().members)
     {
-        const bool silent = time_since_reply(leader, old, now) > options.election_timeout;
-        if (old.id != leader.id() && silent && has_successor(leader.members(), old, true))
+        const bool unresponsive = time_since_reply(leader, old, now) > options.election_timeout;
+        if (old.id != leader.id() && unresponsive && has_successor(leader.members(), old, true))
         {
             return remove(old.id);
         }
     }
     if (options.target_voter_count > 0 && changed.voter_count() > options.target_voter_count)
     {
-        if (const member* silent = find_replaceable_voter(leader, now, options); silent != nullptr)
+        if (const member* unresponsive = find_replaceable_voter(leader, now, options);
+            unresponsive != nullptr)
         {
-            return remove(silent->id);
+            return remove(unresponsive->id);
         }
     }
     return std::nullopt;
--- a/src/replica/storage.cpp
+++ b/src/replica/storage.cpp
@@ -274,7 +274,7 @@
     }
     const frame_scan scan = scan_frames(*content);
     wire::Snapshot stored;
-    if (scan.payloads.size() != 1 || scan.end != tail::clean ||
+    if (scan.payloads.size() != 1 || scan.end != tail_state::clean ||
         !stored.ParseFromArray(scan.payloads[0].data(), static_cast<int>(scan.payloads[0].size())))
     {
         return errc::snapshot_damaged;
@@ -295,7 +295,7 @@
             return errc::disk_read_failed;
         }
         const frame_scan scan = scan_frames(*content);
-        if (scan.end == tail::damaged)
+        if (scan.end == tail_state::damaged)
         {
             return errc::log_damaged;
         }
@@ -312,7 +312,7 @@
         {
             return errc::log_damaged;
         }
-        if (scan.end == tail::torn &&
+        if (scan.end == tail_state::torn &&
             ::truncate(files.back().path.c_str(), static_cast<off_t>(scan.valid_size)) != 0)
         {
             return errc::disk_write_failed;
@@ -350,11 +350,11 @@
     return {};
 }
 
-std::error_code storage::write_all(int file, std::string_view left)
+std::error_code storage::write_all(int file, std::string_view remaining)
 {
-    while (!left.empty())
+    while (!remaining.empty())
     {
-        const ssize_t written = disk_.write(file, left.data(), left.size());
+        const ssize_t written = disk_.write(file, remaining.data(), remaining.size());
         if (written < 0 && errno == EINTR)
         {
             continue;
@@ -367,7 +367,7 @@
         {
             return errc::disk_write_failed;
         }
-        left.remove_prefix(static_cast<std::size_t>(written));
+        remaining.remove_prefix(static_cast<std::size_t>(written));
     }
     return {};
 }
