--- a/include/plumspoke/replica/driver.hpp
+++ b/include/plumspoke/replica/driver.hpp
@@ -75,7 +75,7 @@
 
 using proposal_callback = std::function<void(proposal_result)>;
 
-/// @brief Snapshot of the replica's status for other threads, as of the driver's last round.
+/// @brief Copy of the replica's status for other threads, as of the driver's last round.
 struct replica_status
 {
     member_id id;
