--- a/src/replica/join_requests.cpp
+++ b/src/replica/join_requests.cpp
@@ -8,7 +8,8 @@
 namespace
 {
 
-constexpr auto retention = milliseconds(1500); // a process that still wants to join asks again within it
+// A joining process repeats its request within this time.
+constexpr auto request_lifetime = milliseconds(1500);
 
 } // namespace
 
@@ -16,13 +17,13 @@
 {
     const auto found = std::find_if(requests_.begin(),
                                     requests_.end(),
-                                    [&joining](const request& one)
+                                    [&joining](const request& existing)
                                     {
-                                        return one.joining.name == joining.name;
+                                        return existing.joining.name == joining.name;
                                     });
     if (found != requests_.end() && found->joining.id == joining.id)
     {
-        found->asked_at = now;
+        found->received_at = now;
         return;
     }
     if (found != requests_.end())
@@ -32,18 +33,19 @@
     requests_.push_back({joining, now});
 }
 
-std::vector<member> join_requests::open(time_point now, const membership& present)
+std::vector<member> join_requests::pending(time_point now, const membership& present)
 {
     std::erase_if(requests_,
-                  [now, &present](const request& one)
+                  [now, &present](const request& existing)
                   {
-                      return now > one.asked_at + retention || present.find(one.joining.id) != nullptr;
+                      return now > existing.received_at + request_lifetime ||
+                             present.find(existing.joining.id) != nullptr;
                   });
     std::vector<member> out;
     out.reserve(requests_.size());
-    for (const request& one : requests_)
+    for (const request& existing : requests_)
     {
-        out.push_back(one.joining);
+        out.push_back(existing.joining);
     }
     return out;
 }
