--- a/bench/policy.cpp
+++ b/bench/policy.cpp
@@ -38,13 +38,13 @@
 
 std::vector<pb::policy_choice> policies()
 {
-    return {{"no batch", pc::least_harm{}, pc::no_reaction{}, true, false},
+    return {{"no batch", pc::least_interference{}, pc::no_reaction{}, true, false},
             {"first fit", pc::first_fit{}, pc::no_reaction{}, false, true},
             {"least loaded", pc::least_loaded{}, pc::no_reaction{}, false, true},
             {"random of two", pc::random_of_two{}, pc::no_reaction{}, false, true},
-            {"evict at once", pc::least_loaded{}, pc::evict_at_once{}, false, true},
-            {"without pairs", pc::least_harm{false}, pc::throttle_first{}, true, true},
-            {"plumspoke", pc::least_harm{true}, pc::throttle_first{}, true, true}};
+            {"evict at once", pc::least_loaded{}, pc::evict_immediately{}, false, true},
+            {"without pairs", pc::least_interference{false}, pc::throttle_first{}, true, true},
+            {"plumspoke", pc::least_interference{true}, pc::throttle_first{}, true, true}};
 }
 
 /// All outcomes of a scenario, by policy and seed.
--- a/include/plumspoke/control/claim_watch.hpp
+++ b/include/plumspoke/control/claim_expiry.hpp
@@ -10,11 +10,11 @@
 {
 
 /// @brief Soft state of one leader: since when each open claim has been seen.
-class claim_watch
+class claim_expiry
 {
   public:
     /// @param margin time past a request's own deadline until its claim is ended
-    explicit claim_watch(duration margin) noexcept : margin_(margin)
+    explicit claim_expiry(duration margin) noexcept : margin_(margin)
     {
     }
 
--- a/include/plumspoke/control/interference_model.hpp
+++ b/include/plumspoke/control/interference_model.hpp
@@ -4,7 +4,7 @@
 /// @brief How much work of a class slows a service down on a shared worker, learnt from late measurements.
 ///
 /// For a service at a load level, its p99 on a worker is taken as
-/// `quiet(level) * (1 + sum over classes of share * slowdown(class, level))`, where `share` is the part of
+/// `baseline(level) * (1 + sum over classes of share * slowdown(class, level))`, where `share` is the part of
 /// the worker's processors that tasks of the class hold. Each measurement corrects the pairs that were
 /// there, in proportion to their share (normalised least mean squares: Widrow and Hoff, 1960).
 
@@ -18,9 +18,9 @@
 namespace plumspoke::control
 {
 
-/// @brief Load is learnt in four levels, by the share of busy slots.
+/// @brief Load is learnt in four levels, by the share of peak slots.
 inline constexpr std::size_t load_levels = 4;
-[[nodiscard]] std::size_t level_of(double load) noexcept;
+[[nodiscard]] std::size_t load_level_of(double load) noexcept;
 
 /// @brief The share of a worker's processors that tasks of one class hold.
 struct class_share
@@ -35,7 +35,7 @@
     std::string service;
     double load = 0;
     double p99_ms = 0;
-    std::span<const class_share> beside;
+    std::span<const class_share> colocated;
 };
 
 /// @brief Learns and predicts slowdowns.
@@ -54,18 +54,18 @@
     [[nodiscard]] double
     slowdown(time_point now, const std::string& service, const std::string& work_class, double load) const;
 
-    /// @brief The expected factor on a service's p99 beside these classes; 1 is undisturbed.
-    [[nodiscard]] double factor(time_point now,
-                                const std::string& service,
-                                double load,
-                                std::span<const class_share> beside) const;
+    /// @brief The expected factor on a service's p99 colocated these classes; 1 is undisturbed.
+    [[nodiscard]] double expected_factor(time_point now,
+                                         const std::string& service,
+                                         double load,
+                                         std::span<const class_share> colocated) const;
 
-    /// @brief The quiet p99 of a service at a load; 0 before the first measurement.
-    [[nodiscard]] double quiet_ms(const std::string& service, double load) const;
+    /// @brief The baseline p99 of a service at a load; 0 before the first measurement.
+    [[nodiscard]] double baseline_p99_ms(const std::string& service, double load) const;
 
-    /// @brief The quiet p99 that most answers saw when the service was at its busiest; 0 before the first
+    /// @brief The baseline p99 that most answers saw when the service was at its busiest; 0 before the first
     ///        measurement.
-    [[nodiscard]] double busiest_quiet_ms(const std::string& service) const;
+    [[nodiscard]] double peak_load_baseline_ms(const std::string& service) const;
 
   private:
     struct pair_key
@@ -86,26 +86,26 @@
         double weight = 0;
         time_point updated{};
     };
-    /// @brief The quiet p99 over all workers, weighted by load, and the highest that it was.
-    struct busy_state
+    /// @brief The baseline p99 over all workers, weighted by load, and the highest that it was.
+    struct peak_baseline_state
     {
         double mean_ms = 0;
         double highest_ms = 0;
     };
-    struct quiet_state
+    struct baseline_state
     {
         double p99_ms = 0;
         double samples = 0;
     };
 
-    [[nodiscard]] double weight_now(const pair_state& pair, time_point now) const;
+    [[nodiscard]] double decayed_weight(const pair_state& pair, time_point now) const;
 
-    void note_busy(const slowdown_sample& sample);
+    void update_peak_baseline(const slowdown_sample& sample);
 
     duration half_life_;
-    std::map<std::string, busy_state> busiest_;
+    std::map<std::string, peak_baseline_state> peak_baselines_;
     std::map<pair_key, pair_state> pairs_;
-    std::map<std::string, std::map<std::size_t, quiet_state>> quiet_;
+    std::map<std::string, std::map<std::size_t, baseline_state>> baselines_;
 };
 
 } // namespace plumspoke::control
--- a/include/plumspoke/control/model.hpp
+++ b/include/plumspoke/control/model.hpp
@@ -274,7 +274,7 @@
 // ---- workers -----------------------------------------------------------------------------------
 
 /// @brief So many replaced processes of a worker are remembered: a report is late by seconds.
-inline constexpr std::size_t most_replaced = 8;
+inline constexpr std::size_t max_replaced_incarnations = 8;
 
 /// @brief A worker as it registered.
 struct worker_record
--- a/include/plumspoke/control/placement_index.hpp
+++ b/include/plumspoke/control/placement_index.hpp
@@ -28,21 +28,21 @@
     /// @complexity Linear in the workers; once a round, not once a placement.
     void rebuild(const control_state& state, const std::function<bool(const std::string&)>& usable);
 
-    /// @brief Up to `most` workers that have room: half among the emptiest, half among the fullest.
-    /// @complexity Linear in `most` while workers with room are common.
+    /// @brief Up to `max_count` workers that have room: half among the emptiest, half among the fullest.
+    /// @complexity Linear in `max_count` while workers with room are common.
     [[nodiscard]] std::vector<placement_candidate*>
-    sample(const resources& needed, std::uint64_t random, std::size_t most);
+    sample(const resources& needed, std::uint64_t random, std::size_t max_count);
 
     /// @brief The first worker with room, in the order of names.
-    [[nodiscard]] placement_candidate* first(const resources& needed);
+    [[nodiscard]] placement_candidate* first_with_room(const resources& needed);
 
-    /// @brief The worker with room that has the most free processors.
-    [[nodiscard]] placement_candidate* emptiest(const resources& needed);
+    /// @brief The worker with room that has the max_count free processors.
+    [[nodiscard]] placement_candidate* most_free(const resources& needed);
 
     /// @brief Something was placed on a worker.
-    void take(placement_candidate& from, const resources& taken);
+    void reserve(placement_candidate& from, const resources& taken);
 
-    [[nodiscard]] std::vector<placement_candidate>& all() noexcept
+    [[nodiscard]] std::vector<placement_candidate>& candidates() noexcept
     {
         return candidates_;
     }
@@ -55,7 +55,7 @@
     void sample_bucket(std::size_t bucket_number,
                        const resources& needed,
                        std::uint64_t random,
-                       std::size_t most,
+                       std::size_t max_count,
                        std::vector<placement_candidate*>& found);
 
     std::vector<placement_candidate> candidates_;
--- a/include/plumspoke/control/server.hpp
+++ b/include/plumspoke/control/server.hpp
@@ -3,10 +3,10 @@
 /// @file
 /// @brief The control role's shell: replica, leases, ledger, scheduler, HTTP and gRPC.
 
-#include "plumspoke/control/claim_watch.hpp"
-#include "plumspoke/control/machine.hpp"
+#include "plumspoke/control/claim_expiry.hpp"
 #include "plumspoke/control/policy.hpp"
-#include "plumspoke/control/slot_ledger.hpp"
+#include "plumspoke/control/slot_allocator.hpp"
+#include "plumspoke/control/state_machine.hpp"
 #include "plumspoke/http/server.hpp"
 #include "plumspoke/replica/grpc_transport.hpp"
 #include "plumspoke/settings/process_settings.hpp"
@@ -77,9 +77,9 @@
 
     /// @name access
     /// @{
-    [[nodiscard]] const machine& state() const noexcept
+    [[nodiscard]] const state_machine& state() const noexcept
     {
-        return machine_;
+        return state_machine_;
     }
     [[nodiscard]] const settings::process_settings& process() const noexcept
     {
@@ -96,15 +96,15 @@
     /// @}
 
   private:
-    void run_ticks();
+    void run_scheduler();
     void tick(time_point now);
-    void become_leader(time_point now, const replica::replica_status& status);
+    void refresh_leadership(time_point now, const replica::replica_status& status);
     void propose_all(const std::vector<command>& commands);
     void join_cluster();
     [[nodiscard]] nlohmann::json replica_status_json() const;
 
     settings::process_settings settings_;
-    machine machine_;
+    state_machine state_machine_;
     std::unique_ptr<replica::storage> storage_;
     std::unique_ptr<replica::grpc_transport> transport_;
     std::unique_ptr<replica::driver> driver_;
@@ -113,18 +113,18 @@
 
     mutable std::mutex mutex_; // leader's soft state; never held while the driver is waited for
     worker::desk desk_;
-    slot_ledger ledger_;
-    claim_watch claims_{seconds(2)};
+    slot_allocator slot_allocator_;
+    claim_expiry claim_expiry_{seconds(2)};
     policy policy_;
     replica::term_number leading_term_ = 0;
-    time_point acting_until_{}; // the lease's end when it was last looked at
-    std::set<std::string> leaving_;
+    time_point lease_end_{}; // the lease's end when it was last looked at
+    std::set<std::string> leaving_workers_;
 
     server_counters counters_;
     std::atomic<bool> stopping_{false};
-    std::thread ticker_;
-    struct grpc_part;
-    std::unique_ptr<grpc_part> grpc_;
+    std::thread scheduler_thread_;
+    struct grpc_services;
+    std::unique_ptr<grpc_services> grpc_;
 };
 
 } // namespace plumspoke::control
--- a/include/plumspoke/control/size_model.hpp
+++ b/include/plumspoke/control/size_model.hpp
@@ -23,14 +23,14 @@
     [[nodiscard]] std::size_t samples(const std::string& work_class) const;
 
   private:
-    struct learned
+    struct class_estimate
     {
         double millicores = 0;
         double memory_mb = 0;
         std::size_t samples = 0;
     };
 
-    std::map<std::string, learned> classes_;
+    std::map<std::string, class_estimate> classes_;
 };
 
 } // namespace plumspoke::control
--- a/include/plumspoke/control/slot_ledger.hpp
+++ b/include/plumspoke/control/slot_allocator.hpp
@@ -16,7 +16,7 @@
 {
 
 /// @brief Times of the entries' leases.
-struct ledger_options
+struct slot_allocator_options
 {
     duration lease = seconds(3);
     duration drift_margin = milliseconds(300);
@@ -71,10 +71,10 @@
 };
 
 /// @brief Shares the slots out.
-class slot_ledger
+class slot_allocator
 {
   public:
-    explicit slot_ledger(ledger_options options) noexcept : options_(options)
+    explicit slot_allocator(slot_allocator_options options) noexcept : options_(options)
     {
     }
 
@@ -105,21 +105,21 @@
     }
 
     /// @brief How many slots of a worker may be in use.
-    [[nodiscard]] std::int64_t outstanding_on(const std::string& worker) const;
+    [[nodiscard]] std::int64_t outstanding_slots(const std::string& worker) const;
 
   private:
     using target_table = std::map<std::string, std::map<std::string, std::int64_t>>; // entry, worker
 
     [[nodiscard]] std::int64_t
-    available_on(time_point now, const std::string& worker, std::int64_t capacity) const;
+    grantable_slots(time_point now, const std::string& worker, std::int64_t capacity) const;
     void recompute_targets(time_point now, const configuration& config);
-    void share_service(const service_config& service, const std::vector<const entry_view*>& live);
+    void distribute_slots(const service_config& service, const std::vector<const entry_view*>& live);
 
-    ledger_options options_;
+    slot_allocator_options options_;
     time_point leader_since_{};
     duration longest_request_{};
-    std::set<std::string> possibly_held_;       // workers that served before this leader
-    std::map<std::string, entry_view> entries_; // by entry and incarnation
+    std::set<std::string> possibly_held_workers_; // workers that served before this leader
+    std::map<std::string, entry_view> entries_;   // by entry and incarnation
     target_table targets_;
     std::uint64_t targets_version_ = 0;
     std::size_t targets_entries_ = 0;
--- a/include/plumspoke/control/state.hpp
+++ b/include/plumspoke/control/state.hpp
@@ -17,7 +17,7 @@
 inline constexpr std::size_t max_unfinished_jobs = 200000;
 inline constexpr std::size_t max_claims = 50000;
 inline constexpr std::size_t max_plans = 2000;
-inline constexpr std::size_t failures_until_aside = 3; // different jobs in a row
+inline constexpr std::size_t set_aside_failure_threshold = 3; // different jobs in a row
 
 /// @brief An operator's request and the answer that it got, for resends.
 struct request_record
@@ -85,7 +85,7 @@
     // Derived, rebuilt after a restore:
     std::set<std::string> pending;
     std::set<std::string> open_claims;
-    std::map<std::string, resources> team_use;
+    std::map<std::string, resources> team_usage;
     std::map<std::string, resources> service_reserve; // by worker
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(control_state,
@@ -115,24 +115,24 @@
 [[nodiscard]] std::map<std::string, resources> reserve_by_worker(const configuration& config);
 
 /// @brief What a worker has left for tasks: its size less services' reserve and live tasks.
-[[nodiscard]] resources free_on(const control_state& state, const worker_record& worker);
+[[nodiscard]] resources free_capacity_of(const control_state& state, const worker_record& worker);
 
 /// @brief What a worker could give to tasks if none ran there.
-[[nodiscard]] resources room_on(const control_state& state, const worker_record& worker);
+[[nodiscard]] resources task_capacity_of(const control_state& state, const worker_record& worker);
 
 /// @brief Why a job of this size can never run here, or an empty text.
-[[nodiscard]] std::string why_never(const control_state& state, const job_spec& spec);
+[[nodiscard]] std::string infeasibility_reason(const control_state& state, const job_spec& spec);
 
 /// @brief What a document would change, for the operator to read before confirming.
 [[nodiscard]] plan build_plan(const control_state& state, const intent_document& document);
 
 /// @brief The configuration that a document makes of the present one; the version is not raised.
-[[nodiscard]] configuration changed_by(const configuration& present, const intent_document& document);
+[[nodiscard]] configuration apply_intent(const configuration& present, const intent_document& document);
 
 /// @brief Makes an answer that refuses.
 [[nodiscard]] command_answer refuse(int error, const std::string& where);
 
 /// @brief The key of a claim in the state.
-[[nodiscard]] std::string claim_name(const std::string& service, const std::string& key);
+[[nodiscard]] std::string claim_map_key(const std::string& service, const std::string& key);
 
 } // namespace plumspoke::control
--- a/include/plumspoke/control/machine.hpp
+++ b/include/plumspoke/control/state_machine.hpp
@@ -12,7 +12,7 @@
 {
 
 /// @brief Applies commands; other threads read under the lock.
-class machine final : public replica::state_machine
+class state_machine final : public replica::state_machine
 {
   public:
     std::string apply(replica::log_index index, std::string_view command) override;
--- a/include/plumspoke/entry/control_client.hpp
+++ b/include/plumspoke/entry/control_client.hpp
@@ -3,7 +3,7 @@
 /// @file
 /// @brief An entry's calls to control: reports, claims, outcomes. Finds the leader by itself.
 
-#include "plumspoke/control/slot_ledger.hpp"
+#include "plumspoke/control/slot_allocator.hpp"
 #include "plumspoke/settings/process_settings.hpp"
 
 #include <memory>
--- a/src/control/claim_watch.cpp
+++ b/src/control/claim_expiry.cpp
@@ -1,9 +1,9 @@
-#include "plumspoke/control/claim_watch.hpp"
+#include "plumspoke/control/claim_expiry.hpp"
 
 namespace plumspoke::control
 {
 
-std::vector<command> claim_watch::tick(time_point now, const control_state& state)
+std::vector<command> claim_expiry::tick(time_point now, const control_state& state)
 {
     std::vector<command> commands;
     std::map<std::uint64_t, time_point> still_open;
--- a/src/control/placement_index.cpp
+++ b/src/control/placement_index.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-constexpr std::size_t most_looked_at = 64; // in one bucket, where few have room in another dimension
+constexpr std::size_t max_probes_per_bucket = 64; // in one bucket, where few have room in another dimension
 
 } // namespace
 
@@ -40,7 +40,7 @@
     {
         if (!worker.removed && !worker.set_aside && usable(name))
         {
-            candidates_.push_back({&worker, free_on(state, worker), 0, 0});
+            candidates_.push_back({&worker, free_capacity_of(state, worker), 0, 0});
         }
     }
     for (std::size_t i = 0; i < candidates_.size(); ++i)
@@ -52,12 +52,12 @@
 void placement_index::sample_bucket(std::size_t bucket_number,
                                     const resources& needed,
                                     std::uint64_t random,
-                                    std::size_t most,
+                                    std::size_t max_count,
                                     std::vector<placement_candidate*>& found)
 {
     const std::vector<std::size_t>& bucket = buckets_.at(bucket_number);
-    const std::size_t looked_at = std::min(bucket.size(), most_looked_at);
-    for (std::size_t step = 0; step < looked_at && found.size() < most; ++step)
+    const std::size_t probes = std::min(bucket.size(), max_probes_per_bucket);
+    for (std::size_t step = 0; step < probes && found.size() < max_count; ++step)
     {
         placement_candidate& one = candidates_[bucket[(random + step) % bucket.size()]];
         if (needed.fits(one.free) && std::find(found.begin(), found.end(), &one) == found.end())
@@ -68,23 +68,23 @@
 }
 
 std::vector<placement_candidate*>
-placement_index::sample(const resources& needed, std::uint64_t random, std::size_t most)
+placement_index::sample(const resources& needed, std::uint64_t random, std::size_t max_count)
 {
     // Half from the emptiest, where little is disturbed yet, half from the fullest, which pack best.
     std::vector<placement_candidate*> found;
     const std::size_t lowest = bucket_of(needed.millicores);
-    for (std::size_t b = bucket_count; b-- > lowest && found.size() < most / 2;)
+    for (std::size_t b = bucket_count; b-- > lowest && found.size() < max_count / 2;)
     {
-        sample_bucket(b, needed, random, most / 2, found);
+        sample_bucket(b, needed, random, max_count / 2, found);
     }
-    for (std::size_t b = lowest; b < bucket_count && found.size() < most; ++b)
+    for (std::size_t b = lowest; b < bucket_count && found.size() < max_count; ++b)
     {
-        sample_bucket(b, needed, random, most, found);
+        sample_bucket(b, needed, random, max_count, found);
     }
     return found;
 }
 
-placement_candidate* placement_index::first(const resources& needed)
+placement_candidate* placement_index::first_with_room(const resources& needed)
 {
     const auto found = std::find_if(candidates_.begin(),
                                     candidates_.end(),
@@ -95,7 +95,7 @@
     return found == candidates_.end() ? nullptr : &*found;
 }
 
-placement_candidate* placement_index::emptiest(const resources& needed)
+placement_candidate* placement_index::most_free(const resources& needed)
 {
     for (std::size_t b = bucket_count; b-- > 0;)
     {
@@ -116,7 +116,7 @@
     return nullptr;
 }
 
-void placement_index::take(placement_candidate& from, const resources& taken)
+void placement_index::reserve(placement_candidate& from, const resources& taken)
 {
     std::vector<std::size_t>& bucket = buckets_.at(from.bucket);
     const std::size_t own = bucket[from.position];
--- a/src/control/policy.cpp
+++ b/src/control/policy.cpp
@@ -8,8 +8,8 @@
 namespace
 {
 
-constexpr double throttled_part = 0.2; // of a task's harm that is left when it is throttled
-constexpr double smoothing = 0.4;      // of a measured factor: p99 over a short time is noisy
+constexpr double throttled_share = 0.2; // of a task's harm that is left when it is throttled
+constexpr double smoothing = 0.4;       // of a measured factor: p99 over a short time is noisy
 
 std::uint64_t to_number(double value)
 {
@@ -26,31 +26,32 @@
 {
     sizes_ = {};
     interference_ = interference_model();
-    measures_.clear();
+    measurements_.clear();
     waiting_since_.clear();
-    aside_since_.clear();
-    trials_.clear();
-    evictions_.clear();
+    set_aside_since_.clear();
+    trial_counts_.clear();
+    recent_evictions_.clear();
 }
 
-std::vector<class_share> policy::shares_on(const control_state& state, const worker_record& worker) const
+std::vector<class_share> policy::class_shares_on(const control_state& state,
+                                                 const worker_record& worker) const
 {
     std::vector<class_share> shares;
     const auto whole = static_cast<double>(std::max<std::int64_t>(1, worker.capacity.millicores));
     for (const std::string& id : worker.jobs)
     {
-        const job& one = state.jobs.at(id);
-        if (!one.live->started)
+        const job& owner = state.jobs.at(id);
+        if (!owner.live->started)
         {
             continue;
         }
-        const double part = one.live->order == task_order::throttle ? throttled_part : 1;
-        const double share = part * static_cast<double>(one.live->reserved.millicores) / whole;
+        const double part = owner.live->order == task_order::throttle ? throttled_share : 1;
+        const double share = part * static_cast<double>(owner.live->reserved.millicores) / whole;
         const auto known = std::find_if(shares.begin(),
                                         shares.end(),
-                                        [&one](const class_share& other)
+                                        [&owner](const class_share& other)
                                         {
-                                            return other.work_class == one.spec.work_class;
+                                            return other.work_class == owner.spec.work_class;
                                         });
         if (known != shares.end())
         {
@@ -58,7 +59,7 @@
         }
         else
         {
-            shares.push_back({one.spec.work_class, share});
+            shares.push_back({owner.spec.work_class, share});
         }
     }
     return shares;
@@ -71,7 +72,7 @@
     {
         return;
     }
-    worker_measure& measure = measures_[received.worker];
+    worker_measurement& measurement = measurements_[received.worker];
     for (const worker::task_report& task : received.tasks)
     {
         const auto owner = state.jobs.find(task.job);
@@ -83,30 +84,30 @@
         {
             sizes_.observe(owner->second.spec.work_class, task.used);
         }
-        resources& peak = measure.peak_use[task.token];
+        resources& peak = measurement.peak_use[task.token];
         peak.millicores = std::max(peak.millicores, task.used.millicores);
         peak.memory_mb = std::max(peak.memory_mb, task.used.memory_mb);
     }
-    const std::vector<class_share> beside = shares_on(state, worker->second);
+    const std::vector<class_share> colocated = class_shares_on(state, worker->second);
     for (const worker::service_report& service : received.services)
     {
         const time_point measured_at = now - milliseconds(service.measured_ago_ms);
-        if (service.p99_ms <= 0 || measured_at <= measure.measured_at)
+        if (service.p99_ms <= 0 || measured_at <= measurement.measured_at)
         {
             continue; // nothing new
         }
         // What was measured before the last action says nothing of what runs there now.
-        const bool after_action = !measure.acted || measured_at > measure.acted_at;
+        const bool after_action = !measurement.acted || measured_at > measurement.acted_at;
         if (after_action)
         {
-            interference_.observe(now, {service.service, service.load, service.p99_ms, beside});
+            interference_.observe(now, {service.service, service.load, service.p99_ms, colocated});
         }
-        const double quiet = interference_.quiet_ms(service.service, service.load);
-        double& smoothed = measure.smoothed_factor[service.service];
-        const double factor = quiet > 0 ? service.p99_ms / quiet : 1;
+        const double baseline = interference_.baseline_p99_ms(service.service, service.load);
+        double& smoothed = measurement.smoothed_factor[service.service];
+        const double factor = baseline > 0 ? service.p99_ms / baseline : 1;
         smoothed = smoothed == 0 ? factor : smoothed + smoothing * (factor - smoothed);
-        measure.services[service.service] = service;
-        measure.measured_at = measured_at;
+        measurement.services[service.service] = service;
+        measurement.measured_at = measured_at;
     }
 }
 
@@ -115,23 +116,23 @@
                                     const std::function<bool(const std::string&)>& usable)
 {
     std::vector<command> commands;
-    ordered_.clear();
-    added_harm_.clear();
+    jobs_with_command_.clear();
+    planned_slowdown_.clear();
     if (options_.learn_sizes)
     {
-        resize(state, commands);
+        resize_reservations(state, commands);
     }
-    react(now, state, commands);
-    try_again(now, state, commands);
+    react_to_slowdowns(now, state, commands);
+    start_trials(now, state, commands);
     if (!state.pending.empty())
     {
         index_.rebuild(state, usable);
-        place(now, state, commands);
+        place_pending(now, state, commands);
     }
     return commands;
 }
 
-void policy::try_again(time_point now, const control_state& state, std::vector<command>& commands)
+void policy::start_trials(time_point now, const control_state& state, std::vector<command>& commands)
 {
     std::size_t on_trial = 0;
     for (const auto& [name, worker] : state.workers)
@@ -141,27 +142,28 @@
             on_trial += worker.on_trial ? 1 : 0;
             if (worker.failed_jobs.empty())
             {
-                aside_since_.erase(name);
-                trials_.erase(name); // it has finished a task: it is well again
+                set_aside_since_.erase(name);
+                trial_counts_.erase(name); // it has finished a task: it is well again
             }
             continue;
         }
-        aside_since_.emplace(name, now);
+        set_aside_since_.emplace(name, now);
     }
-    for (auto& [name, since] : aside_since_)
+    for (auto& [name, since] : set_aside_since_)
     {
         const auto worker = state.workers.find(name);
-        if (worker == state.workers.end() || !worker->second.set_aside || on_trial >= options_.max_trials)
+        if (worker == state.workers.end() || !worker->second.set_aside ||
+            on_trial >= options_.max_concurrent_trials)
         {
             continue;
         }
         constexpr int longest_doubling = 6;
-        const int doubling = std::min(trials_[name], longest_doubling);
-        if (now < since + options_.trial_after * (1 << doubling))
+        const int doubling = std::min(trial_counts_[name], longest_doubling);
+        if (now < since + options_.trial_delay * (1 << doubling))
         {
             continue;
         }
-        ++trials_[name];
+        ++trial_counts_[name];
         ++on_trial;
         ++counters_.trials;
         since = now;
@@ -203,19 +205,19 @@
         {
             why = "is set aside, because what starts there fails";
         }
-        else if (!needed.fits(free_on(state, worker)))
+        else if (!needed.fits(free_capacity_of(state, worker)))
         {
-            why = "has " + std::to_string(free_on(state, worker).millicores) + " millicores and " +
-                  std::to_string(free_on(state, worker).memory_mb) + " MB left";
+            why = "has " + std::to_string(free_capacity_of(state, worker).millicores) + " millicores and " +
+                  std::to_string(free_capacity_of(state, worker).memory_mb) + " MB left";
         }
         else if (std::find(asked.failed_on.begin(), asked.failed_on.end(), name) != asked.failed_on.end())
         {
             why = "has room, but it failed there before";
         }
-        else if (const auto measure = measures_.find(name); measure != measures_.end())
+        else if (const auto measurement = measurements_.find(name); measurement != measurements_.end())
         {
-            const double harm = expected_slowdown(now, state, worker, measure->second);
-            why = "has room; its services are expected to be " + std::to_string(to_number(harm * 100)) +
+            const double slowdown = expected_slowdown(now, state, worker, measurement->second);
+            why = "has room; its services are expected to be " + std::to_string(to_number(slowdown * 100)) +
                   " percent slower than undisturbed";
         }
         else
--- a/src/control/server.cpp
+++ b/src/control/server.cpp
@@ -15,8 +15,8 @@
 namespace
 {
 
-constexpr const char* part = "control";
-constexpr auto submit_limit = milliseconds(2000);
+constexpr const char* log_component = "control";
+constexpr auto submit_timeout = milliseconds(2000);
 constexpr auto join_interval = milliseconds(500);
 
 replica::driver_options make_driver_options(const settings::process_settings& settings)
@@ -38,9 +38,9 @@
     return options;
 }
 
-ledger_options make_ledger_options(const settings::process_settings& settings)
+slot_allocator_options make_slot_allocator_options(const settings::process_settings& settings)
 {
-    ledger_options options;
+    slot_allocator_options options;
     options.lease = milliseconds(settings.entry_lease_ms);
     options.drift_margin = milliseconds(settings.drift_margin_ms);
     return options;
@@ -49,7 +49,7 @@
 } // namespace
 
 /// @brief What needs grpcpp; kept out of the header.
-struct server::grpc_part
+struct server::grpc_services
 {
     std::unique_ptr<grpc::Service> replicas;
     std::unique_ptr<grpc::Service> entries;
@@ -64,15 +64,15 @@
                                      [this](const vm_list::vm_list& list)
                                      {
                                          const std::lock_guard lock(mutex_);
-                                         leaving_ = list.leaving;
+                                         leaving_workers_ = list.leaving;
                                      }),
-      desk_(make_desk_options(settings)), ledger_(make_ledger_options(settings)), policy_(policy_options()),
-      grpc_(std::make_unique<grpc_part>())
+      desk_(make_desk_options(settings)), slot_allocator_(make_slot_allocator_options(settings)),
+      policy_(policy_options()), grpc_(std::make_unique<grpc_services>())
 {
     storage_ = std::make_unique<replica::storage>(settings.data_folder);
     transport_ = std::make_unique<replica::grpc_transport>(settings.grpc);
-    driver_ =
-        std::make_unique<replica::driver>(make_driver_options(settings), *storage_, machine_, *transport_);
+    driver_ = std::make_unique<replica::driver>(
+        make_driver_options(settings), *storage_, state_machine_, *transport_);
 }
 
 server::~server()
@@ -110,13 +110,13 @@
         return std::make_error_code(std::errc::address_in_use);
     }
     platform_.start();
-    ticker_ = std::thread(
+    scheduler_thread_ = std::thread(
         [this]
         {
-            run_ticks();
+            run_scheduler();
         });
-    PLUMSPOKE_LOG(INFO, part) << "Started as " << storage_->identity() << " in "
-                              << settings_.availability_zone << ".";
+    PLUMSPOKE_LOG(INFO, log_component)
+        << "Started as " << storage_->identity() << " in " << settings_.availability_zone << ".";
     return {};
 }
 
@@ -126,9 +126,9 @@
     {
         return;
     }
-    if (ticker_.joinable())
+    if (scheduler_thread_.joinable())
     {
-        ticker_.join();
+        scheduler_thread_.join();
     }
     platform_.stop();
     driver_->stop();
@@ -140,7 +140,7 @@
     {
         grpc_->server->Shutdown(std::chrono::system_clock::now() + milliseconds(500));
     }
-    PLUMSPOKE_LOG(INFO, part) << "Stopped.";
+    PLUMSPOKE_LOG(INFO, log_component) << "Stopped.";
 }
 
 std::error_code server::failure() const
@@ -150,7 +150,7 @@
 
 // ---- the leader's rounds -----------------------------------------------------------------------
 
-void server::run_ticks()
+void server::run_scheduler()
 {
     time_point next_join{};
     while (!stopping_)
@@ -164,7 +164,7 @@
         }
         if (status.may_act(now))
         {
-            become_leader(now, status);
+            refresh_leadership(now, status);
             tick(now);
         }
         std::this_thread::sleep_for(milliseconds(settings_.scheduler_tick_ms));
@@ -184,30 +184,30 @@
         if (replica::request_join(address, self) ||
             (address != peer.grpc && replica::request_join(address, self)))
         {
-            PLUMSPOKE_LOG(INFO, part) << "Asked " << address << " to be taken in.";
+            PLUMSPOKE_LOG(INFO, log_component) << "Asked " << address << " to be taken in.";
             return;
         }
     }
 }
 
-void server::become_leader(time_point now, const replica::replica_status& status)
+void server::refresh_leadership(time_point now, const replica::replica_status& status)
 {
     const std::lock_guard lock(mutex_);
     // A lease that was lost in between, by a freeze or a clock that jumped, makes it a new leader too.
-    const bool still_leading = leading_term_ == status.term && now < acting_until_;
-    acting_until_ = status.lease_end;
+    const bool still_leading = leading_term_ == status.term && now < lease_end_;
+    lease_end_ = status.lease_end;
     if (still_leading)
     {
         return;
     }
     leading_term_ = status.term;
     desk_.reset(now);
-    claims_.reset();
+    claim_expiry_.reset();
     policy_.reset();
-    machine_.read(
+    state_machine_.read(
         [this, now](const control_state& state)
         {
-            ledger_.reset(now, state.config);
+            slot_allocator_.reset(now, state.config);
         });
 }
 
@@ -216,18 +216,18 @@
     std::vector<command> commands;
     {
         const std::lock_guard lock(mutex_);
-        machine_.read(
+        state_machine_.read(
             [&](const control_state& state)
             {
-                ledger_.tick(now, state.config);
+                slot_allocator_.tick(now, state.config);
                 commands = desk_.tick(now, state);
-                for (command& next : claims_.tick(now, state))
+                for (command& next : claim_expiry_.tick(now, state))
                 {
                     commands.push_back(std::move(next));
                 }
                 const auto usable = [&](const std::string& worker)
                 {
-                    return desk_.is_live(now, worker) && !leaving_.contains(worker);
+                    return desk_.is_live(now, worker) && !leaving_workers_.contains(worker);
                 };
                 for (command& next : policy_.decide(now, state, usable))
                 {
@@ -251,7 +251,7 @@
 
 command_answer server::submit(const command& value, std::error_code& error)
 {
-    const replica::proposal_result result = driver_->propose_and_wait(encode(value), submit_limit);
+    const replica::proposal_result result = driver_->propose_and_wait(encode(value), submit_timeout);
     if (result.error)
     {
         error = result.error == replica::errc::not_leader ? operators::errc::not_leader
@@ -289,11 +289,11 @@
         error = worker::errc::not_leader;
         return {};
     }
-    become_leader(now, status);
+    refresh_leadership(now, status);
     worker::desk_output output;
     {
         const std::lock_guard lock(mutex_);
-        output = machine_.read(
+        output = state_machine_.read(
             [&](const control_state& state)
             {
                 worker::desk_output answered = desk_.receive(now, state, received, error);
@@ -324,19 +324,19 @@
         error = operators::errc::not_leader;
         return {};
     }
-    become_leader(now, status);
+    refresh_leadership(now, status);
     ++counters_.entry_reports;
     const std::lock_guard lock(mutex_);
-    return machine_.read(
+    return state_machine_.read(
         [&](const control_state& state)
         {
-            return ledger_.receive(now, state.config, received);
+            return slot_allocator_.receive(now, state.config, received);
         });
 }
 
 std::string server::configuration_after(std::uint64_t known, std::uint64_t& version) const
 {
-    return machine_.read(
+    return state_machine_.read(
         [known, &version](const control_state& state)
         {
             version = state.config.version;
@@ -348,7 +348,7 @@
 {
     const time_point now = std::chrono::steady_clock::now();
     const std::lock_guard lock(mutex_);
-    return machine_.read(
+    return state_machine_.read(
         [&](const control_state& state)
         {
             return policy_.explain(now, state, job);
@@ -358,7 +358,7 @@
 bool server::in_force(std::uint64_t version) const
 {
     const std::lock_guard lock(mutex_);
-    return ledger_.in_force(std::chrono::steady_clock::now(), version);
+    return slot_allocator_.in_force(std::chrono::steady_clock::now(), version);
 }
 
 } // namespace plumspoke::control
--- a/src/control/server_pages.cpp
+++ b/src/control/server_pages.cpp
@@ -38,7 +38,7 @@
     result["replicas"] = replica_status_json();
     const std::lock_guard lock(mutex_);
     nlohmann::json entries = nlohmann::json::array();
-    for (const auto& [key, entry] : ledger_.entries())
+    for (const auto& [key, entry] : slot_allocator_.entries())
     {
         std::int64_t slots = 0;
         for (const auto& [worker, held] : entry.outstanding)
@@ -47,16 +47,16 @@
         }
         entries.push_back({{"entry", entry.entry},
                            {"version", entry.version_in_force},
-                           {"serving", ledger_.may_serve(now, entry)},
+                           {"serving", slot_allocator_.may_serve(now, entry)},
                            {"slots", slots}});
     }
     result["entries"] = entries;
-    machine_.read(
+    state_machine_.read(
         [&](const control_state& state)
         {
             result["version"] = state.config.version;
             result["changed_by"] = state.config.changed_by;
-            result["in_force"] = ledger_.in_force(now, state.config.version);
+            result["in_force"] = slot_allocator_.in_force(now, state.config.version);
             nlohmann::json workers = nlohmann::json::array();
             for (const auto& [name, worker] : state.workers)
             {
@@ -66,7 +66,7 @@
                                    {"used", worker.used},
                                    {"tasks", worker.jobs.size()},
                                    {"live", desk_.is_live(now, name)},
-                                   {"leaving", leaving_.contains(name)},
+                                   {"leaving", leaving_workers_.contains(name)},
                                    {"set_aside", worker.set_aside}});
             }
             result["workers"] = workers;
@@ -89,7 +89,7 @@
 std::string server::metrics_text() const
 {
     std::vector<metrics::counter_line> lines;
-    machine_.read(
+    state_machine_.read(
         [&lines](const control_state& state)
         {
             const nlohmann::json counters = state.counters;
--- a/src/control/size_model.cpp
+++ b/src/control/size_model.cpp
@@ -9,50 +9,50 @@
 namespace
 {
 
-constexpr std::size_t enough_samples = 8;
-constexpr double rise = 0.5;
-constexpr double fall = 0.02;
-constexpr double core_margin = 1.1;
+constexpr std::size_t min_samples = 8;
+constexpr double rise_rate = 0.5;
+constexpr double fall_rate = 0.02;
+constexpr double processor_margin = 1.1;
 constexpr double memory_margin = 1.3; // memory can't be throttled
-constexpr double widest = 8;
+constexpr double max_estimate_ratio = 8;
 
-void follow(double& estimate, double seen)
+void update_estimate(double& estimate, double seen)
 {
-    estimate += (seen > estimate ? rise : fall) * (seen - estimate);
+    estimate += (seen > estimate ? rise_rate : fall_rate) * (seen - estimate);
 }
 
-std::int64_t bounded(double learned, std::int64_t declared)
+std::int64_t clamp_to_declared(double learned, std::int64_t declared)
 {
     const auto prior = static_cast<double>(declared);
-    return std::llround(std::clamp(learned, prior / widest, prior * widest));
+    return std::llround(std::clamp(learned, prior / max_estimate_ratio, prior * max_estimate_ratio));
 }
 
 } // namespace
 
 void size_model::observe(const std::string& work_class, const resources& used)
 {
-    learned& known = classes_[work_class];
+    class_estimate& known = classes_[work_class];
     if (known.samples == 0)
     {
         known.millicores = static_cast<double>(used.millicores);
         known.memory_mb = static_cast<double>(used.memory_mb);
     }
-    follow(known.millicores, static_cast<double>(used.millicores));
-    follow(known.memory_mb, static_cast<double>(used.memory_mb));
+    update_estimate(known.millicores, static_cast<double>(used.millicores));
+    update_estimate(known.memory_mb, static_cast<double>(used.memory_mb));
     ++known.samples;
 }
 
 resources size_model::estimate(const job_spec& spec) const
 {
     const auto found = classes_.find(spec.work_class);
-    if (found == classes_.end() || found->second.samples < enough_samples)
+    if (found == classes_.end() || found->second.samples < min_samples)
     {
         return spec.declared;
     }
     resources result = spec.declared; // accelerators are whole: as declared
-    result.millicores =
-        std::max<std::int64_t>(1, bounded(found->second.millicores * core_margin, spec.declared.millicores));
-    result.memory_mb = bounded(found->second.memory_mb * memory_margin, spec.declared.memory_mb);
+    result.millicores = std::max<std::int64_t>(
+        1, clamp_to_declared(found->second.millicores * processor_margin, spec.declared.millicores));
+    result.memory_mb = clamp_to_declared(found->second.memory_mb * memory_margin, spec.declared.memory_mb);
     return result;
 }
 
--- a/src/control/slot_ledger.cpp
+++ b/src/control/slot_allocator.cpp
@@ -1,4 +1,4 @@
-#include "plumspoke/control/slot_ledger.hpp"
+#include "plumspoke/control/slot_allocator.hpp"
 
 #include "plumspoke/error/invariant.hpp"
 
@@ -11,7 +11,8 @@
 {
 
 constexpr auto target_interval = milliseconds(1000);
-constexpr double smallest_weight = 0.25; // of the mean: an idle entry keeps some slots for what comes next
+constexpr double min_weight_fraction =
+    0.25; // of the mean: an idle entry keeps some slots for what comes next
 
 std::string entry_key(const std::string& entry, const std::string& incarnation)
 {
@@ -29,36 +30,37 @@
 }
 
 /// @brief An entry's claim to the next slot, in shares of one.
-struct credit
+struct weighted_entry
 {
     const entry_view* entry = nullptr;
     double weight = 0;
-    double balance = 0;
+    double current_weight = 0;
 };
 
-std::vector<credit> make_credits(const service_config& service, const std::vector<const entry_view*>& live)
+std::vector<weighted_entry> make_weighted_entries(const service_config& service,
+                                                  const std::vector<const entry_view*>& live)
 {
-    std::vector<credit> credits;
+    std::vector<weighted_entry> weighted;
     double total = 0;
     for (const entry_view* entry : live)
     {
         const auto found = entry->wanted.find(service.name);
         const double wanted = found == entry->wanted.end() ? 0 : static_cast<double>(found->second);
-        credits.push_back({entry, wanted, 0});
+        weighted.push_back({entry, wanted, 0});
         total += wanted;
     }
     const double mean = total / static_cast<double>(live.size());
     double weights = 0;
-    for (credit& one : credits)
+    for (weighted_entry& one : weighted)
     {
-        one.weight = mean <= 0 ? 1 : std::max(one.weight, smallest_weight * mean);
+        one.weight = mean <= 0 ? 1 : std::max(one.weight, min_weight_fraction * mean);
         weights += one.weight;
     }
-    for (credit& one : credits)
+    for (weighted_entry& one : weighted)
     {
         one.weight /= weights;
     }
-    return credits;
+    return weighted;
 }
 
 } // namespace
@@ -81,7 +83,7 @@
     return slots;
 }
 
-void slot_ledger::reset(time_point now, const configuration& config)
+void slot_allocator::reset(time_point now, const configuration& config)
 {
     leader_since_ = now;
     longest_request_ = longest_request(config);
@@ -89,30 +91,30 @@
     targets_.clear();
     targets_version_ = 0;
     targets_entries_ = 0;
-    possibly_held_.clear();
+    possibly_held_workers_.clear();
     for (const auto& [worker, slots] : slots_by_worker(config))
     {
-        possibly_held_.insert(worker);
+        possibly_held_workers_.insert(worker);
     }
 }
 
-void slot_ledger::tick(time_point now, const configuration& config)
+void slot_allocator::tick(time_point now, const configuration& config)
 {
     longest_request_ = std::max(longest_request_, longest_request(config));
-    const duration quarantine = options_.lease + options_.drift_margin + longest_request_;
+    const duration reclaim_delay = options_.lease + options_.drift_margin + longest_request_;
     std::erase_if(entries_,
-                  [now, quarantine](const auto& one)
+                  [now, reclaim_delay](const auto& one)
                   {
-                      return one.second.answered_at + quarantine < now ||
+                      return one.second.answered_at + reclaim_delay < now ||
                              (one.second.leaving && one.second.outstanding.empty());
                   });
-    if (now > leader_since_ + quarantine)
+    if (now > leader_since_ + reclaim_delay)
     {
-        possibly_held_.clear();
+        possibly_held_workers_.clear();
     }
 }
 
-std::int64_t slot_ledger::outstanding_on(const std::string& worker) const
+std::int64_t slot_allocator::outstanding_slots(const std::string& worker) const
 {
     std::int64_t sum = 0;
     for (const auto& [key, entry] : entries_)
@@ -124,33 +126,35 @@
 }
 
 std::int64_t
-slot_ledger::available_on(time_point /*now*/, const std::string& worker, std::int64_t capacity) const
+slot_allocator::grantable_slots(time_point /*now*/, const std::string& worker, std::int64_t capacity) const
 {
-    if (possibly_held_.contains(worker))
+    if (possibly_held_workers_.contains(worker))
     {
         return 0; // entries that this leader has not heard may hold all of it
     }
-    return std::max<std::int64_t>(0, capacity - outstanding_on(worker));
+    return std::max<std::int64_t>(0, capacity - outstanding_slots(worker));
 }
 
-void slot_ledger::share_service(const service_config& service, const std::vector<const entry_view*>& live)
+void slot_allocator::distribute_slots(const service_config& service,
+                                      const std::vector<const entry_view*>& live)
 {
-    std::vector<credit> credits = make_credits(service, live);
+    std::vector<weighted_entry> weighted = make_weighted_entries(service, live);
     for (const endpoint_config& endpoint : service.endpoints)
     {
         for (std::int64_t slot = 0; slot < service.slots_per_worker; ++slot)
         {
-            for (credit& one : credits)
+            for (weighted_entry& one : weighted)
             {
-                one.balance += one.weight;
+                one.current_weight += one.weight;
             }
-            credit& next = *std::max_element(credits.begin(),
-                                             credits.end(),
-                                             [](const credit& left, const credit& right)
-                                             {
-                                                 return left.balance < right.balance;
-                                             });
-            next.balance -= 1;
+            weighted_entry& next =
+                *std::max_element(weighted.begin(),
+                                  weighted.end(),
+                                  [](const weighted_entry& left, const weighted_entry& right)
+                                  {
+                                      return left.current_weight < right.current_weight;
+                                  });
+            next.current_weight -= 1;
             std::int64_t& target =
                 targets_[entry_key(next.entry->entry, next.entry->incarnation)][endpoint.worker];
             target += 1;
@@ -158,7 +162,7 @@
     }
 }
 
-void slot_ledger::recompute_targets(time_point now, const configuration& config)
+void slot_allocator::recompute_targets(time_point now, const configuration& config)
 {
     std::vector<const entry_view*> live;
     for (const auto& [key, entry] : entries_)
@@ -190,11 +194,12 @@
         {
             shared.insert(endpoint.worker); // the first service of a worker shares its slots out for all
         }
-        share_service(own, live);
+        distribute_slots(own, live);
     }
 }
 
-entry_orders slot_ledger::receive(time_point now, const configuration& config, const entry_report& received)
+entry_orders
+slot_allocator::receive(time_point now, const configuration& config, const entry_report& received)
 {
     entry_orders orders;
     const std::string key = entry_key(received.entry, received.incarnation);
@@ -242,7 +247,7 @@
         std::int64_t granted = std::min(held, target);
         if (target > held)
         {
-            granted = held + std::min(target - held, available_on(now, worker, capacity));
+            granted = held + std::min(target - held, grantable_slots(now, worker, capacity));
         }
         if (granted > held)
         {
@@ -253,13 +258,13 @@
             orders.granted.push_back({worker, granted});
         }
         error::check_invariant(error::invariant::worker_within_capacity,
-                               granted <= held || outstanding_on(worker) <= capacity,
+                               granted <= held || outstanding_slots(worker) <= capacity,
                                "control::slot_ledger");
     }
     return orders;
 }
 
-bool slot_ledger::in_force(time_point now, std::uint64_t version) const
+bool slot_allocator::in_force(time_point now, std::uint64_t version) const
 {
     if (now < leader_since_ + options_.lease + options_.drift_margin)
     {
--- a/src/control/state.cpp
+++ b/src/control/state.cpp
@@ -12,7 +12,7 @@
     command_answer answer = std::visit(
         [&state, index](const auto& body)
         {
-            return detail::on(state, index, body);
+            return detail::apply_command(state, index, body);
         },
         value);
     error::check_invariant(error::invariant::configuration_never_reverts,
@@ -33,7 +33,7 @@
             state.open_claims.insert(name);
         }
     }
-    state.team_use.clear();
+    state.team_usage.clear();
     state.service_reserve = reserve_by_worker(state.config);
     for (const auto& [id, one] : state.jobs)
     {
@@ -43,7 +43,7 @@
         }
         if (one.live.has_value())
         {
-            state.team_use[one.spec.team] += one.live->reserved;
+            state.team_usage[one.spec.team] += one.live->reserved;
         }
     }
 }
@@ -61,18 +61,18 @@
     return reserve;
 }
 
-resources room_on(const control_state& state, const worker_record& worker)
+resources task_capacity_of(const control_state& state, const worker_record& worker)
 {
     const auto reserve = state.service_reserve.find(worker.name);
     return reserve == state.service_reserve.end() ? worker.capacity : worker.capacity - reserve->second;
 }
 
-resources free_on(const control_state& state, const worker_record& worker)
+resources free_capacity_of(const control_state& state, const worker_record& worker)
 {
-    return room_on(state, worker) - worker.used;
+    return task_capacity_of(state, worker) - worker.used;
 }
 
-std::string why_never(const control_state& state, const job_spec& spec)
+std::string infeasibility_reason(const control_state& state, const job_spec& spec)
 {
     const auto team = state.config.teams.find(spec.team);
     if (team == state.config.teams.end())
@@ -89,7 +89,7 @@
     }
     for (const auto& [name, worker] : state.workers)
     {
-        if (!worker.removed && spec.declared.fits(room_on(state, worker)))
+        if (!worker.removed && spec.declared.fits(task_capacity_of(state, worker)))
         {
             return {};
         }
--- a/src/control/state_claims.cpp
+++ b/src/control/state_claims.cpp
@@ -6,7 +6,7 @@
 namespace plumspoke::control
 {
 
-std::string claim_name(const std::string& service, const std::string& key)
+std::string claim_map_key(const std::string& service, const std::string& key)
 {
     return service + '\n' + key;
 }
@@ -17,7 +17,7 @@
 namespace
 {
 
-command_answer answer_of(const claim& found, claim_state state)
+command_answer claim_answer(const claim& found, claim_state state)
 {
     command_answer answer;
     answer.id = found.id;
@@ -28,7 +28,7 @@
 }
 
 /// Makes room by forgetting the oldest claim that has ended.
-bool make_room(control_state& state)
+bool evict_oldest_claims(control_state& state)
 {
     while (state.claims.size() >= max_claims && !state.claim_order.empty())
     {
@@ -48,9 +48,9 @@
 
 } // namespace
 
-command_answer on(control_state& state, std::uint64_t /*index*/, const begin_claim& value)
+command_answer apply_command(control_state& state, std::uint64_t /*index*/, const begin_claim& value)
 {
-    const std::string name = claim_name(value.service, value.key);
+    const std::string name = claim_map_key(value.service, value.key);
     const auto found = state.claims.find(name);
     if (found != state.claims.end())
     {
@@ -58,10 +58,10 @@
         const bool same = found->second.digest == value.digest;
         if (same && found->second.entry == value.entry && found->second.state == claim_state::in_progress)
         {
-            return answer_of(found->second,
-                             claim_state::granted); // the asker's own claim, its answer was lost
+            return claim_answer(found->second,
+                                claim_state::granted); // the asker's own claim, its answer was lost
         }
-        return answer_of(found->second, same ? found->second.state : claim_state::mismatch);
+        return claim_answer(found->second, same ? found->second.state : claim_state::mismatch);
     }
     claim made;
     made.service = value.service;
@@ -69,21 +69,21 @@
     made.digest = value.digest;
     made.entry = value.entry;
     made.deadline_ms = value.deadline_ms;
-    if (!make_room(state))
+    if (!evict_oldest_claims(state))
     {
-        return answer_of(made, claim_state::refused);
+        return claim_answer(made, claim_state::refused);
     }
     made.id = state.next_claim++;
     state.claims[name] = made;
     state.claim_order.push_back(name);
     state.open_claims.insert(name);
     ++state.counters.claims_granted;
-    return answer_of(made, claim_state::granted);
+    return claim_answer(made, claim_state::granted);
 }
 
-command_answer on(control_state& state, std::uint64_t /*index*/, const finish_claim& value)
+command_answer apply_command(control_state& state, std::uint64_t /*index*/, const finish_claim& value)
 {
-    const std::string name = claim_name(value.service, value.key);
+    const std::string name = claim_map_key(value.service, value.key);
     const auto found = state.claims.find(name);
     if (found == state.claims.end() || found->second.id != value.id)
     {
@@ -91,7 +91,7 @@
     }
     if (found->second.state == claim_state::done)
     {
-        return answer_of(found->second, claim_state::done); // the first outcome stands
+        return claim_answer(found->second, claim_state::done); // the first outcome stands
     }
     if (value.state == claim_state::granted)
     {
@@ -109,7 +109,7 @@
     found->second.status = value.status;
     found->second.content_type = value.content_type;
     found->second.body = value.body;
-    return answer_of(found->second, value.state);
+    return claim_answer(found->second, value.state);
 }
 
 } // namespace detail
--- a/src/control/state_jobs.cpp
+++ b/src/control/state_jobs.cpp
@@ -16,10 +16,10 @@
 using error::check_invariant;
 using error::invariant;
 
-constexpr const char* lost_with_process = "the worker's process was replaced";
+constexpr const char* process_replaced_reason = "the worker's process was replaced";
 
 /// How far into its row of interruptions an order goes; an intent allows up to its own.
-int depth(task_order order)
+int interruption_level(task_order order)
 {
     switch (order)
     {
@@ -35,7 +35,7 @@
     return 3;
 }
 
-int depth(interruption allowed)
+int interruption_level(interruption allowed)
 {
     switch (allowed)
     {
@@ -62,7 +62,7 @@
     }
 }
 
-void wait_again(control_state& state, job& waiting, std::string reason)
+void requeue(control_state& state, job& waiting, std::string reason)
 {
     waiting.phase = job_phase::pending;
     waiting.reason = std::move(reason);
@@ -70,7 +70,7 @@
 }
 
 /// Gives back what the live task held.
-void release(control_state& state, job& owner)
+void release_reservation(control_state& state, job& owner)
 {
     const auto found = state.workers.find(owner.live->worker);
     if (found != state.workers.end())
@@ -78,11 +78,11 @@
         found->second.used -= owner.live->reserved;
         std::erase(found->second.jobs, owner.spec.id);
     }
-    state.team_use[owner.spec.team] -= owner.live->reserved;
+    state.team_usage[owner.spec.team] -= owner.live->reserved;
     owner.live.reset();
 }
 
-void end_cancelled(control_state& state, job& cancelled)
+void finish_cancelled(control_state& state, job& cancelled)
 {
     if (cancelled.ever_started)
     {
@@ -94,19 +94,19 @@
     finish(state, cancelled, job_phase::cancelled, "cancelled before it ran");
 }
 
-void interrupt(control_state& state, job& interrupted, const std::string& reason)
+void interrupt_task(control_state& state, job& interrupted, const std::string& reason)
 {
-    release(state, interrupted);
+    release_reservation(state, interrupted);
     if (interrupted.cancel_requested)
     {
-        end_cancelled(state, interrupted);
+        finish_cancelled(state, interrupted);
         return;
     }
     ++interrupted.interruptions;
-    wait_again(state, interrupted, reason);
+    requeue(state, interrupted, reason);
 }
 
-void note_failed_on(job& failed, const std::string& worker)
+void record_failed_worker(job& failed, const std::string& worker)
 {
     if (std::find(failed.failed_on.begin(), failed.failed_on.end(), worker) == failed.failed_on.end())
     {
@@ -114,12 +114,12 @@
     }
 }
 
-void note_failure(control_state& state, job& failed, const report_task& report)
+void record_task_failure(control_state& state, job& failed, const report_task& report)
 {
     const std::string worker_name = failed.live->worker;
-    release(state, failed);
+    release_reservation(state, failed);
     ++failed.failures;
-    note_failed_on(failed, worker_name);
+    record_failed_worker(failed, worker_name);
     worker_record& worker = state.workers[worker_name];
     if (std::find(worker.failed_jobs.begin(), worker.failed_jobs.end(), failed.spec.id) ==
         worker.failed_jobs.end())
@@ -127,7 +127,7 @@
         worker.failed_jobs.push_back(failed.spec.id);
     }
     // Different jobs failing in a row blame the worker; one job failing on several workers blames itself.
-    if ((worker.failed_jobs.size() >= failures_until_aside || worker.on_trial) && !worker.set_aside)
+    if ((worker.failed_jobs.size() >= set_aside_failure_threshold || worker.on_trial) && !worker.set_aside)
     {
         worker.set_aside = true;
         worker.on_trial = false;
@@ -135,7 +135,7 @@
     }
     if (failed.cancel_requested)
     {
-        end_cancelled(state, failed);
+        finish_cancelled(state, failed);
         return;
     }
     if (failed.failures >= failed.spec.max_attempts)
@@ -148,10 +148,10 @@
         return;
     }
     ++failed.interruptions;
-    wait_again(state, failed, "failed on " + worker_name + ": " + report.reason);
+    requeue(state, failed, "failed on " + worker_name + ": " + report.reason);
 }
 
-void note_event(control_state& state, job& owner, const report_task& report)
+void apply_task_event(control_state& state, job& owner, const report_task& report)
 {
     switch (report.event)
     {
@@ -168,14 +168,14 @@
             found->second.failed_jobs.clear();
             found->second.on_trial = false;
         }
-        release(state, owner);
+        release_reservation(state, owner);
         owner.result = report.result;
         ++state.counters.jobs_done;
         finish(state, owner, job_phase::done, "finished");
         return;
     case task_event::failed:
         owner.ever_started = true;
-        note_failure(state, owner, report);
+        record_task_failure(state, owner, report);
         return;
     case task_event::stopped:
         if (!report.checkpoint.empty())
@@ -186,15 +186,15 @@
         {
             ++state.counters.evictions;
         }
-        interrupt(state, owner, "evicted: " + owner.live->reason);
+        interrupt_task(state, owner, "evicted: " + owner.live->reason);
         return;
     case task_event::lost:
-        lose_task(state, owner, report.reason, report.sign);
+        handle_lost_task(state, owner, report.reason, report.sign);
         return;
     }
 }
 
-command_answer accepted_job(const job& one)
+command_answer job_status_answer(const job& one)
 {
     command_answer answer;
     answer.id = one.live.has_value() ? one.live->token : 0;
@@ -217,15 +217,15 @@
 
 // Only failures that a worker reports counted against a job once, and one that ends its worker's process
 // reports nothing: it was placed again without end.
-void lose_task(control_state& state, job& lost, const std::string& reason, jobs::crash_sign sign)
+void handle_lost_task(control_state& state, job& lost, const std::string& reason, jobs::crash_sign sign)
 {
     ++state.counters.tasks_lost;
     lost.evidence.note(sign);
     if (sign == jobs::crash_sign::blamed)
     {
-        note_failed_on(lost, lost.live->worker);
+        record_failed_worker(lost, lost.live->worker);
     }
-    interrupt(state, lost, "lost: " + reason);
+    interrupt_task(state, lost, "lost: " + reason);
     if (!lost.finished() && lost.evidence.suffices())
     {
         ++state.counters.jobs_failed;
@@ -239,7 +239,7 @@
 namespace
 {
 
-jobs::crash_sign sign_for(const std::string& job, std::span<const crashed_job> crashed)
+jobs::crash_sign crash_sign_for(const std::string& job, std::span<const crashed_job> crashed)
 {
     const auto found = std::find_if(crashed.begin(),
                                     crashed.end(),
@@ -251,14 +251,14 @@
 }
 
 /// Gives back the jobs of a process that was replaced, and blames the crash on what sets one of them apart.
-void lose_process(control_state& state,
-                  const std::vector<std::string>& held,
-                  std::span<const crashed_job> crashed)
+void handle_lost_process(control_state& state,
+                         const std::vector<std::string>& held,
+                         std::span<const crashed_job> crashed)
 {
     std::vector<jobs::crash_evidence> evidence;
     for (const std::string& id : held)
     {
-        if (sign_for(id, crashed) == jobs::crash_sign::counted)
+        if (crash_sign_for(id, crashed) == jobs::crash_sign::counted)
         {
             evidence.push_back(state.jobs.at(id).evidence);
         }
@@ -267,15 +267,15 @@
     for (const std::string& id : held)
     {
         job& lost = state.jobs.at(id);
-        const jobs::crash_sign sign = sign_for(id, crashed);
+        const jobs::crash_sign sign = crash_sign_for(id, crashed);
         const bool blamed = sign == jobs::crash_sign::counted && lost.evidence.blamed == blamed_before;
-        lose_task(state, lost, lost_with_process, blamed ? jobs::crash_sign::blamed : sign);
+        handle_lost_task(state, lost, process_replaced_reason, blamed ? jobs::crash_sign::blamed : sign);
     }
 }
 
 } // namespace
 
-command_answer on(control_state& state, std::uint64_t /*index*/, const register_worker& value)
+command_answer apply_command(control_state& state, std::uint64_t /*index*/, const register_worker& value)
 {
     worker_record& worker = state.workers[value.name];
     if (std::find(worker.replaced.begin(), worker.replaced.end(), value.incarnation) != worker.replaced.end())
@@ -285,13 +285,13 @@
     if (!worker.incarnation.empty() && worker.incarnation != value.incarnation)
     {
         worker.replaced.push_back(worker.incarnation);
-        if (worker.replaced.size() > most_replaced)
+        if (worker.replaced.size() > max_replaced_incarnations)
         {
             worker.replaced.erase(worker.replaced.begin());
         }
         // By the workers' contract an incarnation's tasks have ended before the next one registers.
         const std::vector<std::string> held = worker.jobs;
-        lose_process(state, held, value.crashed);
+        handle_lost_process(state, held, value.crashed);
         worker.set_aside = false;
         worker.on_trial = false;
         worker.failed_jobs.clear();
@@ -305,7 +305,7 @@
     return {};
 }
 
-command_answer on(control_state& state, std::uint64_t /*index*/, const set_worker_aside& value)
+command_answer apply_command(control_state& state, std::uint64_t /*index*/, const set_worker_aside& value)
 {
     const auto found = state.workers.find(value.worker);
     if (found == state.workers.end())
@@ -318,7 +318,7 @@
     return {};
 }
 
-command_answer on(control_state& state, std::uint64_t index, const submit_job& value)
+command_answer apply_command(control_state& state, std::uint64_t index, const submit_job& value)
 {
     const auto present = state.jobs.find(value.spec.id);
     if (present != state.jobs.end())
@@ -327,13 +327,13 @@
         {
             return refuse(errc::job_exists, "job " + value.spec.id);
         }
-        return accepted_job(present->second); // a resend
+        return job_status_answer(present->second); // a resend
     }
     if (!state.config.teams.contains(value.spec.team))
     {
         return refuse(errc::unknown_team, "job " + value.spec.id + ", team " + value.spec.team);
     }
-    if (const std::string never = why_never(state, value.spec); !never.empty())
+    if (const std::string never = infeasibility_reason(state, value.spec); !never.empty())
     {
         command_answer answer = refuse(errc::can_never_run, "job " + value.spec.id);
         answer.message += ": " + never;
@@ -344,10 +344,10 @@
         return refuse(errc::too_many_jobs, "job " + value.spec.id);
     }
     add_job(state, index, value.spec);
-    return accepted_job(state.jobs.at(value.spec.id));
+    return job_status_answer(state.jobs.at(value.spec.id));
 }
 
-command_answer on(control_state& state, std::uint64_t /*index*/, const cancel_job& value)
+command_answer apply_command(control_state& state, std::uint64_t /*index*/, const cancel_job& value)
 {
     const auto found = state.jobs.find(value.job);
     if (found == state.jobs.end())
@@ -357,7 +357,7 @@
     job& cancelled = found->second;
     if (cancelled.phase == job_phase::cancelled || cancelled.cancel_requested)
     {
-        return accepted_job(cancelled); // idempotent
+        return job_status_answer(cancelled); // idempotent
     }
     if (cancelled.finished())
     {
@@ -366,15 +366,15 @@
     cancelled.cancel_requested = true;
     if (!cancelled.live.has_value())
     {
-        end_cancelled(state, cancelled);
-        return accepted_job(cancelled);
+        finish_cancelled(state, cancelled);
+        return job_status_answer(cancelled);
     }
     cancelled.live->order = task_order::stop;
     cancelled.live->reason = "cancelled";
-    return accepted_job(cancelled);
+    return job_status_answer(cancelled);
 }
 
-command_answer on(control_state& state, std::uint64_t /*index*/, const judge_job& value)
+command_answer apply_command(control_state& state, std::uint64_t /*index*/, const judge_job& value)
 {
     const auto found = state.jobs.find(value.job);
     if (found == state.jobs.end())
@@ -388,10 +388,10 @@
     }
     judged.phase = value.can_run ? job_phase::pending : job_phase::cannot_run;
     judged.reason = value.reason;
-    return accepted_job(judged);
+    return job_status_answer(judged);
 }
 
-command_answer on(control_state& state, std::uint64_t /*index*/, const place_task& value)
+command_answer apply_command(control_state& state, std::uint64_t /*index*/, const place_task& value)
 {
     const auto found = state.jobs.find(value.job);
     if (found == state.jobs.end())
@@ -417,12 +417,12 @@
     {
         return refuse(errc::worker_set_aside, "worker " + value.worker);
     }
-    if (!value.reserved.fits(free_on(state, worker)))
+    if (!value.reserved.fits(free_capacity_of(state, worker)))
     {
         return refuse(errc::no_capacity, "job " + value.job + " on worker " + value.worker);
     }
     const auto team = state.config.teams.find(placed.spec.team);
-    resources& held = state.team_use[placed.spec.team];
+    resources& held = state.team_usage[placed.spec.team];
     if (team == state.config.teams.end() || !(held + value.reserved).fits(team->second.quota))
     {
         return refuse(errc::over_quota, "job " + value.job);
@@ -450,12 +450,13 @@
     held += value.reserved;
     state.pending.erase(value.job);
     ++state.counters.placements;
-    check_invariant(
-        invariant::worker_within_capacity, worker.used.fits(room_on(state, worker)), "control::place_task");
-    return accepted_job(placed);
+    check_invariant(invariant::worker_within_capacity,
+                    worker.used.fits(task_capacity_of(state, worker)),
+                    "control::place_task");
+    return job_status_answer(placed);
 }
 
-command_answer on(control_state& state, std::uint64_t /*index*/, const order_task& value)
+command_answer apply_command(control_state& state, std::uint64_t /*index*/, const order_task& value)
 {
     const auto found = state.jobs.find(value.job);
     if (found == state.jobs.end() || !found->second.live.has_value() ||
@@ -466,21 +467,22 @@
     job& ordered = found->second;
     const bool ending =
         ordered.live->order == task_order::checkpoint || ordered.live->order == task_order::stop;
-    if (ending && depth(value.order) <= depth(ordered.live->order))
+    if (ending && interruption_level(value.order) <= interruption_level(ordered.live->order))
     {
         return refuse(errc::order_not_allowed, "job " + value.job); // an ending is not taken back
     }
-    if (depth(value.order) > depth(ordered.spec.interruptible) && !ordered.cancel_requested)
+    if (interruption_level(value.order) > interruption_level(ordered.spec.interruptible) &&
+        !ordered.cancel_requested)
     {
         return refuse(errc::order_not_allowed, "job " + value.job);
     }
     state.counters.throttles += value.order == task_order::throttle ? 1U : 0U;
     ordered.live->order = value.order;
     ordered.live->reason = value.reason;
-    return accepted_job(ordered);
+    return job_status_answer(ordered);
 }
 
-command_answer on(control_state& state, std::uint64_t /*index*/, const resize_task& value)
+command_answer apply_command(control_state& state, std::uint64_t /*index*/, const resize_task& value)
 {
     const auto found = state.jobs.find(value.job);
     if (found == state.jobs.end() || !found->second.live.has_value() ||
@@ -491,20 +493,21 @@
     job& resized = found->second;
     worker_record& worker = state.workers.at(resized.live->worker);
     const resources grown = value.reserved - resized.live->reserved;
-    if (!grown.fits(free_on(state, worker)))
+    if (!grown.fits(free_capacity_of(state, worker)))
     {
         return refuse(errc::no_capacity, "job " + value.job + " on worker " + worker.name);
     }
     worker.used += grown;
-    state.team_use[resized.spec.team] += grown;
+    state.team_usage[resized.spec.team] += grown;
     resized.live->reserved = value.reserved;
     resized.learned = value.reserved;
-    check_invariant(
-        invariant::worker_within_capacity, worker.used.fits(room_on(state, worker)), "control::resize_task");
-    return accepted_job(resized);
+    check_invariant(invariant::worker_within_capacity,
+                    worker.used.fits(task_capacity_of(state, worker)),
+                    "control::resize_task");
+    return job_status_answer(resized);
 }
 
-command_answer on(control_state& state, std::uint64_t /*index*/, const report_task& value)
+command_answer apply_command(control_state& state, std::uint64_t /*index*/, const report_task& value)
 {
     const auto found = state.jobs.find(value.job);
     if (found == state.jobs.end() || !found->second.live.has_value() ||
@@ -514,7 +517,7 @@
         return refuse(errc::stale_token, "job " + value.job + ", token " + std::to_string(value.token));
     }
     job& reported = found->second;
-    note_event(state, reported, value);
+    apply_task_event(state, reported, value);
     command_answer answer;
     answer.detail = {{"job", value.job}};
     return answer;
--- a/src/control/state_plans.cpp
+++ b/src/control/state_plans.cpp
@@ -81,23 +81,25 @@
                                              same ? "is there already" : "a different job has this id"));
             continue;
         }
-        const std::string never = why_never(after, spec);
+        const std::string never = infeasibility_reason(after, spec);
         result.refused = result.refused || !never.empty();
         result.steps.push_back(never.empty() ? make_step("start", "job " + spec.id, "when a worker has room")
                                              : make_step("cannot_run", "job " + spec.id, never));
     }
 }
 
-bool same_request(const control_state& state, const std::string& request, const std::string& digest)
+bool matches_recorded_request(const control_state& state,
+                              const std::string& request,
+                              const std::string& digest)
 {
     const auto found = state.requests.find(request);
     return found != state.requests.end() && found->second.digest == digest;
 }
 
-command_answer remember(control_state& state,
-                        const std::string& request,
-                        const std::string& digest,
-                        const command_answer& answer)
+command_answer record_answer(control_state& state,
+                             const std::string& request,
+                             const std::string& digest,
+                             const command_answer& answer)
 {
     if (request.empty())
     {
@@ -115,21 +117,21 @@
 
 /// Finds what an earlier sending of this request got; refuses an identity that is used twice.
 std::optional<command_answer>
-earlier_answer(control_state& state, const std::string& request, const std::string& digest)
+find_recorded_answer(control_state& state, const std::string& request, const std::string& digest)
 {
     const auto found = state.requests.find(request);
     if (request.empty() || found == state.requests.end())
     {
         return std::nullopt;
     }
-    if (!same_request(state, request, digest))
+    if (!matches_recorded_request(state, request, digest))
     {
         return detail::refuse(errc::request_mismatch, "request " + request);
     }
     return found->second.answer;
 }
 
-command_answer conflict(control_state& state, std::uint64_t based_on)
+command_answer version_conflict_answer(control_state& state, std::uint64_t based_on)
 {
     ++state.counters.plan_conflicts;
     command_answer answer =
@@ -140,7 +142,7 @@
     return answer;
 }
 
-void forget_old_plans(control_state& state)
+void trim_plans(control_state& state)
 {
     while (state.plans.size() > max_plans)
     {
@@ -148,7 +150,7 @@
     }
 }
 
-command_answer carry_out(control_state& state, std::uint64_t index, plan& confirmed)
+command_answer apply_plan(control_state& state, std::uint64_t index, plan& confirmed)
 {
     if (confirmed.phase != plan_phase::open)
     {
@@ -156,7 +158,7 @@
     }
     if (confirmed.based_on != state.config.version)
     {
-        return conflict(state, confirmed.based_on);
+        return version_conflict_answer(state, confirmed.based_on);
     }
     // The fleet may have moved on since the plan was made.
     const plan now = build_plan(state, confirmed.document);
@@ -166,7 +168,7 @@
         answer.detail = now.steps;
         return answer;
     }
-    state.config = changed_by(state.config, confirmed.document);
+    state.config = apply_intent(state.config, confirmed.document);
     state.config.version += 1;
     state.config.changed_by = confirmed.made_by;
     state.service_reserve = reserve_by_worker(state.config);
@@ -187,7 +189,7 @@
 
 } // namespace
 
-configuration changed_by(const configuration& present, const intent_document& document)
+configuration apply_intent(const configuration& present, const intent_document& document)
 {
     configuration result = present;
     for (const team& one : document.teams)
@@ -216,7 +218,7 @@
     }
     plan_services(state, document, result);
     control_state after;
-    after.config = changed_by(state.config, document);
+    after.config = apply_intent(state.config, document);
     after.workers = state.workers;
     after.service_reserve = reserve_by_worker(after.config);
     for (const job_spec& spec : document.jobs)
@@ -243,16 +245,16 @@
 namespace detail
 {
 
-command_answer on(control_state& state, std::uint64_t /*index*/, const make_plan& value)
+command_answer apply_command(control_state& state, std::uint64_t /*index*/, const make_plan& value)
 {
     const std::string digest = nlohmann::json(value).dump();
-    if (std::optional<command_answer> earlier = earlier_answer(state, value.request, digest))
+    if (std::optional<command_answer> earlier = find_recorded_answer(state, value.request, digest))
     {
         return *earlier;
     }
     if (value.based_on != state.config.version)
     {
-        return remember(state, value.request, digest, conflict(state, value.based_on));
+        return record_answer(state, value.request, digest, version_conflict_answer(state, value.based_on));
     }
     plan made = build_plan(state, value.document);
     made.id = state.next_plan++;
@@ -263,14 +265,14 @@
     answer.detail = {
         {"id", made.id}, {"based_on", made.based_on}, {"refused", made.refused}, {"steps", made.steps}};
     state.plans[made.id] = std::move(made);
-    forget_old_plans(state);
-    return remember(state, value.request, digest, answer);
+    trim_plans(state);
+    return record_answer(state, value.request, digest, answer);
 }
 
-command_answer on(control_state& state, std::uint64_t index, const confirm_plan& value)
+command_answer apply_command(control_state& state, std::uint64_t index, const confirm_plan& value)
 {
     const std::string digest = nlohmann::json(value).dump();
-    if (std::optional<command_answer> earlier = earlier_answer(state, value.request, digest))
+    if (std::optional<command_answer> earlier = find_recorded_answer(state, value.request, digest))
     {
         return *earlier;
     }
@@ -279,13 +281,13 @@
     {
         return refuse(errc::unknown_plan, "plan " + std::to_string(value.plan));
     }
-    return remember(state, value.request, digest, carry_out(state, index, found->second));
+    return record_answer(state, value.request, digest, apply_plan(state, index, found->second));
 }
 
-command_answer on(control_state& state, std::uint64_t /*index*/, const discard_plan& value)
+command_answer apply_command(control_state& state, std::uint64_t /*index*/, const discard_plan& value)
 {
     const std::string digest = nlohmann::json(value).dump();
-    if (std::optional<command_answer> earlier = earlier_answer(state, value.request, digest))
+    if (std::optional<command_answer> earlier = find_recorded_answer(state, value.request, digest))
     {
         return *earlier;
     }
@@ -301,7 +303,7 @@
     found->second.phase = plan_phase::discarded;
     command_answer answer;
     answer.id = value.plan;
-    return remember(state, value.request, digest, answer);
+    return record_answer(state, value.request, digest, answer);
 }
 
 } // namespace detail
--- a/tests/src/unit-control_leader.cpp
+++ b/tests/src/unit-control_leader.cpp
@@ -3,7 +3,7 @@
 
 #include "control_fixture.hpp"
 #include "plumspoke/control/policy.hpp"
-#include "plumspoke/control/slot_ledger.hpp"
+#include "plumspoke/control/slot_allocator.hpp"
 #include "plumspoke/worker/desk.hpp"
 #include "plumspoke/worker/error.hpp"
 
@@ -72,7 +72,7 @@
         service.endpoints.push_back({worker, "", std::string(worker) + ":1"});
     }
     config.services["quick"] = service;
-    slot_ledger ledger{ledger_options{}};
+    slot_allocator ledger{slot_allocator_options{}};
     ledger.reset(start, configuration()); // these workers are new under this leader
     std::uint64_t sequence = 0;
     const auto report =
@@ -104,15 +104,15 @@
         (void)report("e1", start + milliseconds(40), lowered);
         CHECK(report("e2", start + milliseconds(50), {}) ==
               std::vector<slot_share>{{"w1", 4}, {"w2", 4}, {"w3", 4}});
-        CHECK(ledger.outstanding_on("w1") == 8);
+        CHECK(ledger.outstanding_slots("w1") == 8);
     }
     SECTION("frees a silent entry's slots when its lease and its longest request are over")
     {
         (void)report("e1", start, {});
         ledger.tick(start + milliseconds(4300), config);
-        CHECK(ledger.outstanding_on("w1") == 8);
+        CHECK(ledger.outstanding_slots("w1") == 8);
         ledger.tick(start + milliseconds(4301), config);
-        CHECK(ledger.outstanding_on("w1") == 0);
+        CHECK(ledger.outstanding_slots("w1") == 0);
     }
     SECTION("follows demand, and leaves an idle entry some slots")
     {
@@ -173,7 +173,7 @@
         model.observe(now, {"quick", 0.9, 150, noisy});
         model.observe(now, {"quick", 0.9, 102, calm});
     }
-    CHECK(model.quiet_ms("quick", 0.9) == Approx(100).epsilon(0.05));
+    CHECK(model.baseline_p99_ms("quick", 0.9) == Approx(100).epsilon(0.05));
     CHECK(model.slowdown(now, "quick", "build", 0.9) == Approx(2).epsilon(0.15));
     CHECK(model.slowdown(now, "quick", "marking", 0.9) < 0.25);
     CHECK(model.slowdown(now, "quick", "build", 0.1) == Approx(0.35)); // another load level: not known
--- a/tests/src/unit-control_state.cpp
+++ b/tests/src/unit-control_state.cpp
@@ -113,7 +113,7 @@
         CHECK(is(f.report("j", token, task_event::finished), errc::stale_token));
         CHECK(f.state.counters.jobs_done == 1);
         CHECK(f.state.workers.at("w1").used == resources{});
-        CHECK(f.state.team_use.at("judge") == resources{});
+        CHECK(f.state.team_usage.at("judge") == resources{});
     }
     SECTION("that is evicted resumes once, from its checkpoint, under a higher token")
     {
@@ -255,7 +255,7 @@
         nlohmann::json::from_cbor(nlohmann::json::to_cbor(nlohmann::json(f.state))).get<control_state>();
     rebuild_derived(restored);
     CHECK(nlohmann::json(restored) == nlohmann::json(f.state));
-    CHECK(restored.team_use == f.state.team_use);
+    CHECK(restored.team_usage == f.state.team_usage);
     CHECK(restored.open_claims == f.state.open_claims);
 }
 
--- a/tests/world/control_vm.cpp
+++ b/tests/world/control_vm.cpp
@@ -23,9 +23,9 @@
     return options;
 }
 
-control::ledger_options ledger_options()
+control::slot_allocator_options ledger_options()
 {
-    control::ledger_options options;
+    control::slot_allocator_options options;
     options.lease = entry_lease;
     options.drift_margin = drift_margin;
     return options;
--- a/tests/world/flow_checks.cpp
+++ b/tests/world/flow_checks.cpp
@@ -60,7 +60,7 @@
             return false;
         }
     }
-    return leader->ledger().outstanding_on("w1") > 0 && leader->ledger().outstanding_on("w3") > 0;
+    return leader->ledger().outstanding_slots("w1") > 0 && leader->ledger().outstanding_slots("w3") > 0;
 }
 
 } // namespace
--- a/tests/world/world.hpp
+++ b/tests/world/world.hpp
@@ -3,9 +3,9 @@
 // A small world in virtual time around the real decisions: replicas with fake disks, workers, entries with
 // endpoints, operators. It has no threads and no clock; the same seed and fault give the same run.
 
-#include "plumspoke/control/claim_watch.hpp"
+#include "plumspoke/control/claim_expiry.hpp"
 #include "plumspoke/control/policy.hpp"
-#include "plumspoke/control/slot_ledger.hpp"
+#include "plumspoke/control/slot_allocator.hpp"
 #include "plumspoke/entry/request_flow.hpp"
 #include "plumspoke/entry/route_table.hpp"
 #include "plumspoke/replica/driver.hpp"
@@ -277,7 +277,7 @@
     {
         return *node_;
     }
-    [[nodiscard]] const control::slot_ledger& ledger() const noexcept
+    [[nodiscard]] const control::slot_allocator& ledger() const noexcept
     {
         return ledger_;
     }
@@ -306,9 +306,9 @@
     control::control_state state_;
     replica::log_index applied_ = 0;
     plumspoke::worker::desk desk_;
-    control::claim_watch claims_;
+    control::claim_expiry claims_;
     control::policy policy_;
-    control::slot_ledger ledger_;
+    control::slot_allocator ledger_;
     replica::term_number leading_term_ = 0;
     time_point acting_until_{};
     std::map<replica::log_index, waiting> waiting_;
