--- a/include/plumspoke/control/policy.hpp
+++ b/include/plumspoke/control/policy.hpp
@@ -198,7 +198,7 @@
                         std::vector<command>& commands);
     void issue_order(time_point now,
                      const job& ordered,
-                     task_order what,
+                     task_order new_order,
                      const std::string& reason,
                      worker_measurement& measurement,
                      std::vector<command>& commands);
@@ -210,7 +210,7 @@
                                                  const control_state& state,
                                                  const worker_record& worker,
                                                  const worker_measurement& measurement,
-                                                 task_order among) const;
+                                                 task_order current_order) const;
     [[nodiscard]] bool consume_eviction_budget(time_point now);
     void resize_reservations(const control_state& state, std::vector<command>& commands);
     void start_trials(time_point now, const control_state& state, std::vector<command>& commands);
--- a/src/control/api.cpp
+++ b/src/control/api.cpp
@@ -55,7 +55,7 @@
     return error_response(421, error, {{"leader", hint.name}, {"http", hint.http}});
 }
 
-int status_of(std::int64_t error)
+int http_status_of(std::int64_t error)
 {
     switch (static_cast<errc>(error))
     {
@@ -95,7 +95,7 @@
         nlohmann::json body = {
             {"error", answer.error}, {"message", answer.message}, {"version", answer.version}};
         body["detail"] = answer.detail;
-        return json_response(status_of(answer.error), body);
+        return json_response(http_status_of(answer.error), body);
     }
     return json_response(200, {{"id", answer.id}, {"version", answer.version}, {"detail", answer.detail}});
 }
@@ -112,7 +112,8 @@
 }
 
 /// The non-empty part of a path between a prefix and a suffix, or nothing if the path doesn't match.
-std::optional<std::string> between(std::string_view path, std::string_view prefix, std::string_view suffix)
+std::optional<std::string>
+path_parameter(std::string_view path, std::string_view prefix, std::string_view suffix)
 {
     if (path.size() <= prefix.size() + suffix.size() || !path.starts_with(prefix) || !path.ends_with(suffix))
     {
@@ -315,20 +316,20 @@
     {
         return read_plans(self);
     }
-    if (const auto version = between(request.path, "/v1/in_force/", ""))
+    if (const auto version = path_parameter(request.path, "/v1/in_force/", ""))
     {
         const std::optional<std::uint64_t> number = parse_number(*version);
         return json_response(200, {{"in_force", number.has_value() && self.in_force(*number)}});
     }
-    if (const auto id = between(request.path, "/v1/jobs/", ""))
+    if (const auto id = path_parameter(request.path, "/v1/jobs/", ""))
     {
         return read_job(self, *id);
     }
-    if (const auto id = between(request.path, "/v1/plans/", ""))
+    if (const auto id = path_parameter(request.path, "/v1/plans/", ""))
     {
         return read_plan(self, *id);
     }
-    if (const auto id = between(request.path, "/v1/explain/", ""))
+    if (const auto id = path_parameter(request.path, "/v1/explain/", ""))
     {
         const std::vector<std::string> lines = self.explain(*id);
         return lines.empty() ? error_response(404, errc::unknown_job)
@@ -347,11 +348,11 @@
     {
         return make_plan_request(self, request);
     }
-    if (const auto id = between(request.path, "/v1/plans/", "/confirm"))
+    if (const auto id = path_parameter(request.path, "/v1/plans/", "/confirm"))
     {
         return plan_request<confirm_plan>(self, request, *id);
     }
-    if (const auto id = between(request.path, "/v1/plans/", "/discard"))
+    if (const auto id = path_parameter(request.path, "/v1/plans/", "/discard"))
     {
         return plan_request<discard_plan>(self, request, *id);
     }
@@ -359,15 +360,15 @@
     {
         return submit_job_request(self, request);
     }
-    if (const auto id = between(request.path, "/v1/jobs/", "/cancel"))
+    if (const auto id = path_parameter(request.path, "/v1/jobs/", "/cancel"))
     {
         return submit(self, cancel_job{*id});
     }
-    if (const auto id = between(request.path, "/v1/workers/", "/take_back"))
+    if (const auto id = path_parameter(request.path, "/v1/workers/", "/take_back"))
     {
         return submit(self, set_worker_aside{*id, false});
     }
-    if (const auto id = between(request.path, "/v1/workers/", "/set_aside"))
+    if (const auto id = path_parameter(request.path, "/v1/workers/", "/set_aside"))
     {
         return submit(self, set_worker_aside{*id, true});
     }
--- a/src/control/entry_service.cpp
+++ b/src/control/entry_service.cpp
@@ -89,13 +89,13 @@
             reply->set_leader_address(self_.leader().grpc);
             return grpc::Status::OK;
         }
-        const claim told = answer.detail.get<claim>();
+        const claim outcome = answer.detail.get<claim>();
         reply->set_leader(true);
-        reply->set_state(static_cast<std::uint32_t>(told.state));
-        reply->set_status(static_cast<std::uint32_t>(told.status));
-        reply->set_content_type(told.content_type);
-        reply->set_body(told.body);
-        reply->set_claim(told.id);
+        reply->set_state(static_cast<std::uint32_t>(outcome.state));
+        reply->set_status(static_cast<std::uint32_t>(outcome.status));
+        reply->set_content_type(outcome.content_type);
+        reply->set_body(outcome.body);
+        reply->set_claim(outcome.id);
         return grpc::Status::OK;
     }
 
--- a/src/control/policy.cpp
+++ b/src/control/policy.cpp
@@ -11,7 +11,7 @@
 constexpr double throttled_share = 0.2; // remaining part of a task's slowdown while it is throttled
 constexpr double smoothing = 0.4;       // weight of a new measurement; a p99 over a short time is noisy
 
-std::uint64_t to_number(double value)
+std::uint64_t to_unsigned(double value)
 {
     return static_cast<std::uint64_t>(std::max(0.0, value));
 }
@@ -37,7 +37,7 @@
                                                  const worker_record& worker) const
 {
     std::vector<class_share> shares;
-    const auto whole = static_cast<double>(std::max<std::int64_t>(1, worker.capacity.millicores));
+    const auto capacity = static_cast<double>(std::max<std::int64_t>(1, worker.capacity.millicores));
     for (const std::string& id : worker.jobs)
     {
         const job& owner = state.jobs.at(id);
@@ -46,7 +46,7 @@
             continue;
         }
         const double part = owner.live->order == task_order::throttle ? throttled_share : 1;
-        const double share = part * static_cast<double>(owner.live->reserved.millicores) / whole;
+        const double share = part * static_cast<double>(owner.live->reserved.millicores) / capacity;
         const auto known = std::find_if(shares.begin(),
                                         shares.end(),
                                         [&owner](const class_share& other)
@@ -157,9 +157,9 @@
         {
             continue;
         }
-        constexpr int longest_doubling = 6;
-        const int doubling = std::min(trial_counts_[name], longest_doubling);
-        if (now < since + options_.trial_delay * (1 << doubling))
+        constexpr int max_doublings = 6;
+        const int doublings = std::min(trial_counts_[name], max_doublings);
+        if (now < since + options_.trial_delay * (1 << doublings))
         {
             continue;
         }
@@ -190,13 +190,13 @@
                     std::to_string(needed.memory_mb) + " are reserved.");
     if (const auto since = waiting_since_.find(id); since != waiting_since_.end() && !asked.live.has_value())
     {
-        const auto waited = std::chrono::duration_cast<seconds>(now - since->second).count();
-        lines.push_back("It has waited for " + std::to_string(waited) + " s.");
+        const auto waited_s = std::chrono::duration_cast<seconds>(now - since->second).count();
+        lines.push_back("It has waited for " + std::to_string(waited_s) + " s.");
     }
     for (const auto& [name, worker] : state.workers)
     {
-        constexpr std::size_t most_lines = 12;
-        if (lines.size() >= most_lines)
+        constexpr std::size_t max_lines = 12;
+        if (lines.size() >= max_lines)
         {
             break;
         }
@@ -217,7 +217,7 @@
         else if (const auto measurement = measurements_.find(name); measurement != measurements_.end())
         {
             const double slowdown = expected_slowdown(now, state, worker, measurement->second);
-            why = "has room; its services are expected to be " + std::to_string(to_number(slowdown * 100)) +
+            why = "has room; its services are expected to be " + std::to_string(to_unsigned(slowdown * 100)) +
                   " percent slower than undisturbed";
         }
         else
--- a/src/control/policy_place.cpp
+++ b/src/control/policy_place.cpp
@@ -67,7 +67,7 @@
                           return !state.pending.contains(waited.first);
                       });
     }
-    const auto before = [](const ranked_job& left, const ranked_job& right)
+    const auto precedes = [](const ranked_job& left, const ranked_job& right)
     {
         const bool left_urgent = left.waiting->spec.urgency == priority::urgent;
         const bool right_urgent = right.waiting->spec.urgency == priority::urgent;
@@ -89,10 +89,10 @@
         }
         return left.waiting->spec.id < right.waiting->spec.id;
     };
-    const std::size_t wanted = std::min(result.size(), options_.max_scanned_jobs);
+    const std::size_t count = std::min(result.size(), options_.max_scanned_jobs);
     std::partial_sort(
-        result.begin(), result.begin() + static_cast<std::ptrdiff_t>(wanted), result.end(), before);
-    result.resize(wanted);
+        result.begin(), result.begin() + static_cast<std::ptrdiff_t>(count), result.end(), precedes);
+    result.resize(count);
     return result;
 }
 
@@ -144,9 +144,9 @@
             ++counters_.waits_no_room;
             continue;
         }
-        const bool may_wait = waiting.spec.urgency != priority::urgent && !next.deferral_expired &&
-                              std::holds_alternative<throttle_first>(options_.reaction);
-        if (may_wait && chosen.slowdown > deferral_factor * options_.slowdown_budget)
+        const bool deferrable = waiting.spec.urgency != priority::urgent && !next.deferral_expired &&
+                                std::holds_alternative<throttle_first>(options_.reaction);
+        if (deferrable && chosen.slowdown > deferral_factor * options_.slowdown_budget)
         {
             ++counters_.waits_harm;
             continue;
@@ -199,16 +199,16 @@
                                                   const job& /*waiting*/,
                                                   const resources& needed)
 {
-    constexpr std::size_t tries = 64;
+    constexpr std::size_t max_tries = 64;
     placement_candidate* best = nullptr;
-    std::size_t seen = 0;
+    std::size_t found_count = 0;
     std::vector<placement_candidate>& all = index_.candidates();
-    for (std::size_t i = 0; i < tries && seen < 2 && !all.empty(); ++i)
+    for (std::size_t i = 0; i < max_tries && found_count < 2 && !all.empty(); ++i)
     {
         placement_candidate& candidate = all[next_random(random_state_) % all.size()];
         if (needed.fits(candidate.free))
         {
-            ++seen;
+            ++found_count;
             best = best == nullptr || candidate.free.millicores > best->free.millicores ? &candidate : best;
         }
     }
@@ -283,14 +283,15 @@
             {
                 slowdown += added->second;
             }
-            double own = 0;
+            double job_slowdown = 0;
             for (const auto& [name, report] : measurement->second.services)
             {
-                own = std::max(own,
-                               share_of(needed, worker) * slack_scale(name, report.load) *
-                                   predicted_slowdown(now, name, waiting.spec.work_class, report.load));
+                job_slowdown =
+                    std::max(job_slowdown,
+                             share_of(needed, worker) * slack_scale(name, report.load) *
+                                 predicted_slowdown(now, name, waiting.spec.work_class, report.load));
             }
-            slowdown += own;
+            slowdown += job_slowdown;
         }
         const double fit = static_cast<double>(candidate->free.millicores - needed.millicores) /
                            static_cast<double>(std::max<std::int64_t>(1, worker.capacity.millicores));
--- a/src/control/policy_react.cpp
+++ b/src/control/policy_react.cpp
@@ -49,17 +49,17 @@
     {
         return;
     }
-    const bool at_once = std::holds_alternative<evict_immediately>(options_.reaction);
+    const bool immediate = std::holds_alternative<evict_immediately>(options_.reaction);
     double measured = -options_.max_slack;
     for (const auto& [service, factor] : measurement.smoothed_factor)
     {
-        const double scale = at_once ? 1 : slack_scale(service, measurement.services.at(service).load);
+        const double scale = immediate ? 1 : slack_scale(service, measurement.services.at(service).load);
         measured = std::max(measured, factor * scale - 1);
     }
     // A single measurement is noisy and late. The model combines many and takes in the tasks that run now.
     const double expected = expected_slowdown(now, state, worker->second, measurement);
-    const double slowdown = at_once ? measured : model_weight * expected + (1 - model_weight) * measured;
-    if (!at_once && measurement.acted && measurement.measured_at <= measurement.acted_at)
+    const double slowdown = immediate ? measured : model_weight * expected + (1 - model_weight) * measured;
+    if (!immediate && measurement.acted && measurement.measured_at <= measurement.acted_at)
     {
         counters_.held_for_report += slowdown > options_.breach_threshold ? 1U : 0U;
         return;
@@ -78,7 +78,7 @@
                                        const control_state& state,
                                        const worker_record& worker,
                                        const worker_measurement& measurement,
-                                       task_order among) const
+                                       task_order current_order) const
 {
     const job* worst = nullptr;
     double worst_contribution = 0;
@@ -86,9 +86,9 @@
     {
         const job& candidate = state.jobs.at(id);
         const interruption wanted =
-            among == task_order::run ? interruption::throttle : interruption::checkpoint;
-        if (candidate.live->order != among || !candidate.live->started || !permits(candidate, wanted) ||
-            jobs_with_command_.contains(id))
+            current_order == task_order::run ? interruption::throttle : interruption::checkpoint;
+        if (candidate.live->order != current_order || !candidate.live->started ||
+            !permits(candidate, wanted) || jobs_with_command_.contains(id))
         {
             continue;
         }
@@ -111,8 +111,8 @@
                   {
                       return at + one_hour < now;
                   });
-    const bool bounded = !std::holds_alternative<evict_immediately>(options_.reaction);
-    if (bounded && static_cast<std::int64_t>(recent_evictions_.size()) >= options_.evictions_per_hour)
+    const bool limited = !std::holds_alternative<evict_immediately>(options_.reaction);
+    if (limited && static_cast<std::int64_t>(recent_evictions_.size()) >= options_.evictions_per_hour)
     {
         ++counters_.eviction_bound_reached;
         return false;
@@ -143,21 +143,21 @@
     }
     // Throttles as many tasks at once as are expected to bring the services back within the budget, because
     // the next measurement arrives late. Checkpoints one task only if nothing is left to throttle.
-    double left = slowdown;
+    double remaining = slowdown;
     bool throttled = false;
-    while (left > options_.slowdown_budget)
+    while (remaining > options_.slowdown_budget)
     {
         const job* worst = most_disruptive_job(now, state, worker, measurement, task_order::run);
         if (worst == nullptr)
         {
             break;
         }
-        left -= slowdown_contribution(now, worker, measurement, *worst) * throttle_relief;
+        remaining -= slowdown_contribution(now, worker, measurement, *worst) * throttle_relief;
         throttled = true;
         ++counters_.throttled;
         issue_order(now, *worst, task_order::throttle, reason, measurement, commands);
     }
-    if (throttled || left <= options_.breach_threshold)
+    if (throttled || remaining <= options_.breach_threshold)
     {
         return;
     }
@@ -170,7 +170,7 @@
 
 void policy::issue_order(time_point now,
                          const job& ordered,
-                         task_order what,
+                         task_order new_order,
                          const std::string& reason,
                          worker_measurement& measurement,
                          std::vector<command>& commands)
@@ -178,7 +178,7 @@
     jobs_with_command_.insert(ordered.spec.id);
     measurement.acted = true;
     measurement.acted_at = now;
-    commands.emplace_back(order_task{ordered.spec.id, ordered.live->token, what, reason});
+    commands.emplace_back(order_task{ordered.spec.id, ordered.live->token, new_order, reason});
 }
 
 double policy::slowdown_contribution(time_point now,
@@ -206,7 +206,7 @@
 {
     // Resumes the tasks with the smallest contribution first, as long as the services are expected to stay
     // within the budget.
-    double left = slowdown;
+    double remaining = slowdown;
     while (true)
     {
         const job* least = nullptr;
@@ -226,11 +226,11 @@
                 smallest_contribution = contribution;
             }
         }
-        if (least == nullptr || left + smallest_contribution > options_.slowdown_budget)
+        if (least == nullptr || remaining + smallest_contribution > options_.slowdown_budget)
         {
             return;
         }
-        left += smallest_contribution;
+        remaining += smallest_contribution;
         ++counters_.unthrottled;
         issue_order(now, *least, task_order::run, "services have recovered", measurement, commands);
     }
--- a/src/control/slot_allocator.cpp
+++ b/src/control/slot_allocator.cpp
@@ -180,20 +180,21 @@
     targets_version_ = config.version;
     targets_entries_ = live.size();
     targets_at_ = now;
-    std::set<std::string> shared;
+    std::set<std::string> distributed;
     for (const auto& [name, service] : config.services)
     {
-        service_config own = service;
-        std::erase_if(own.endpoints,
-                      [&shared](const endpoint_config& endpoint)
+        service_config remaining = service;
+        std::erase_if(remaining.endpoints,
+                      [&distributed](const endpoint_config& endpoint)
                       {
-                          return shared.contains(endpoint.worker);
+                          return distributed.contains(endpoint.worker);
                       });
-        for (const endpoint_config& endpoint : own.endpoints)
+        for (const endpoint_config& endpoint : remaining.endpoints)
         {
-            shared.insert(endpoint.worker); // a worker's first service distributes the slots for all of them
+            distributed.insert(
+                endpoint.worker); // a worker's first service distributes the slots for all of them
         }
-        distribute_slots(own, live);
+        distribute_slots(remaining, live);
     }
 }
 
--- a/src/control/state_claims.cpp
+++ b/src/control/state_claims.cpp
@@ -22,9 +22,9 @@
 {
     command_answer answer;
     answer.id = found.id;
-    claim told = found;
-    told.state = state;
-    answer.detail = told;
+    claim reply = found;
+    reply.state = state;
+    answer.detail = reply;
     return answer;
 }
 
@@ -65,22 +65,22 @@
         }
         return claim_answer(found->second, same ? found->second.state : claim_state::mismatch);
     }
-    claim made;
-    made.service = value.service;
-    made.key = value.key;
-    made.digest = value.digest;
-    made.entry = value.entry;
-    made.deadline_ms = value.deadline_ms;
+    claim created;
+    created.service = value.service;
+    created.key = value.key;
+    created.digest = value.digest;
+    created.entry = value.entry;
+    created.deadline_ms = value.deadline_ms;
     if (!evict_oldest_claims(state))
     {
-        return claim_answer(made, claim_state::refused);
+        return claim_answer(created, claim_state::refused);
     }
-    made.id = state.next_claim++;
-    state.claims[name] = made;
+    created.id = state.next_claim++;
+    state.claims[name] = created;
     state.claim_order.push_back(name);
     state.open_claims.insert(name);
     ++state.counters.claims_granted;
-    return claim_answer(made, claim_state::granted);
+    return claim_answer(created, claim_state::granted);
 }
 
 command_answer apply_command(control_state& state, std::uint64_t /*index*/, const finish_claim& value)
--- a/src/control/state_jobs.cpp
+++ b/src/control/state_jobs.cpp
@@ -255,11 +255,11 @@
 /// Requeues the jobs of a replaced process. Of the jobs for which the crash counts, those blamed most often
 /// before are blamed; find_blamed() decides whether that sets them apart.
 void handle_lost_process(control_state& state,
-                         const std::vector<std::string>& held,
+                         const std::vector<std::string>& assigned_jobs,
                          std::span<const crashed_job> crashed)
 {
     std::vector<jobs::crash_evidence> evidence;
-    for (const std::string& id : held)
+    for (const std::string& id : assigned_jobs)
     {
         if (crash_sign_for(id, crashed) == jobs::crash_sign::counted)
         {
@@ -267,7 +267,7 @@
         }
     }
     const std::optional<std::uint32_t> blamed_before = jobs::find_blamed(evidence);
-    for (const std::string& id : held)
+    for (const std::string& id : assigned_jobs)
     {
         job& lost = state.jobs.at(id);
         const jobs::crash_sign sign = crash_sign_for(id, crashed);
@@ -293,8 +293,8 @@
             worker.replaced.erase(worker.replaced.begin());
         }
         // The workers' contract: an incarnation's tasks have ended before the next incarnation registers.
-        const std::vector<std::string> held = worker.jobs;
-        handle_lost_process(state, held, value.crashed);
+        const std::vector<std::string> assigned_jobs = worker.jobs;
+        handle_lost_process(state, assigned_jobs, value.crashed);
         worker.set_aside = false;
         worker.on_trial = false;
         worker.failed_jobs.clear();
@@ -336,10 +336,10 @@
     {
         return refuse(errc::unknown_team, "job " + value.spec.id + ", team " + value.spec.team);
     }
-    if (const std::string never = infeasibility_reason(state, value.spec); !never.empty())
+    if (const std::string infeasible = infeasibility_reason(state, value.spec); !infeasible.empty())
     {
         command_answer answer = refuse(errc::can_never_run, "job " + value.spec.id);
-        answer.message += ": " + never;
+        answer.message += ": " + infeasible;
         return answer;
     }
     if (state.jobs.size() - state.finished_order.size() >= max_unfinished_jobs)
@@ -495,13 +495,13 @@
     }
     job& resized = found->second;
     worker_record& worker = state.workers.at(resized.live->worker);
-    const resources grown = value.reserved - resized.live->reserved;
-    if (!grown.fits(free_capacity_of(state, worker)))
+    const resources growth = value.reserved - resized.live->reserved;
+    if (!growth.fits(free_capacity_of(state, worker)))
     {
         return refuse(errc::no_capacity, "job " + value.job + " on worker " + worker.name);
     }
-    worker.used += grown;
-    state.team_usage[resized.spec.team] += grown;
+    worker.used += growth;
+    state.team_usage[resized.spec.team] += growth;
     resized.live->reserved = value.reserved;
     resized.learned = value.reserved;
     check_invariant(invariant::worker_within_capacity,
--- a/src/control/state_plans.cpp
+++ b/src/control/state_plans.cpp
@@ -81,10 +81,11 @@
                                              same ? "is there already" : "a different job has this id"));
             continue;
         }
-        const std::string never = infeasibility_reason(after, spec);
-        result.refused = result.refused || !never.empty();
-        result.steps.push_back(never.empty() ? make_step("start", "job " + spec.id, "when a worker has room")
-                                             : make_step("cannot_run", "job " + spec.id, never));
+        const std::string infeasible = infeasibility_reason(after, spec);
+        result.refused = result.refused || !infeasible.empty();
+        result.steps.push_back(infeasible.empty()
+                                   ? make_step("start", "job " + spec.id, "when a worker has room")
+                                   : make_step("cannot_run", "job " + spec.id, infeasible));
     }
 }
 
@@ -257,15 +258,17 @@
     {
         return record_answer(state, value.request, digest, version_conflict_answer(state, value.based_on));
     }
-    plan made = build_plan(state, value.document);
-    made.id = state.next_plan++;
-    made.based_on = value.based_on;
-    made.made_by = value.made_by;
+    plan created = build_plan(state, value.document);
+    created.id = state.next_plan++;
+    created.based_on = value.based_on;
+    created.made_by = value.made_by;
     command_answer answer;
-    answer.id = made.id;
-    answer.detail = {
-        {"id", made.id}, {"based_on", made.based_on}, {"refused", made.refused}, {"steps", made.steps}};
-    state.plans[made.id] = std::move(made);
+    answer.id = created.id;
+    answer.detail = {{"id", created.id},
+                     {"based_on", created.based_on},
+                     {"refused", created.refused},
+                     {"steps", created.steps}};
+    state.plans[created.id] = std::move(created);
     trim_plans(state);
     return record_answer(state, value.request, digest, answer);
 }
--- a/tests/src/unit-control_state.cpp
+++ b/tests/src/unit-control_state.cpp
@@ -291,9 +291,9 @@
     {
         (void)f.apply(finish_claim{"sync", "rug-17", first.id, claim_state::done, 200, "text/plain", "sold"});
         (void)f.apply(finish_claim{"sync", "rug-17", first.id, claim_state::unknown, 0, "", ""});
-        const claim told = claimed("e2/1");
-        CHECK(told.state == claim_state::done);
-        CHECK(told.body == "sold");
+        const claim outcome = claimed("e2/1");
+        CHECK(outcome.state == claim_state::done);
+        CHECK(outcome.body == "sold");
     }
     SECTION("can be made again after the request is known not to have run")
     {
