--- a/include/plumspoke/control/policy.hpp
+++ b/include/plumspoke/control/policy.hpp
@@ -26,7 +26,7 @@
 struct least_loaded
 {
 };
-/// @brief The one with more free processors of two workers chosen at random.
+/// @brief The one with more free processors of two random workers with enough free capacity.
 struct random_of_two
 {
 };
@@ -80,7 +80,7 @@
     std::uint64_t placed = 0;
     std::uint64_t waits_no_room = 0;
     std::uint64_t waits_quota = 0;
-    std::uint64_t waits_harm = 0;
+    std::uint64_t waits_harm = 0; // deferred: the expected slowdown is above the budget
     std::uint64_t throttled = 0;
     std::uint64_t unthrottled = 0;
     std::uint64_t evicted = 0;
@@ -227,9 +227,8 @@
     std::map<std::string, time_point> set_aside_since_;
     std::map<std::string, int> trial_counts_;
     std::vector<time_point> recent_evictions_;
-    std::set<std::string> jobs_with_command_; // ordered or resized in this round
-    std::map<std::string, double>
-        planned_slowdown_; // by worker; tasks placed in this round, not yet in the state
+    std::set<std::string> jobs_with_command_;        // ordered or resized in this round
+    std::map<std::string, double> planned_slowdown_; // by worker; of tasks placed in this round
     policy_counters counters_;
 };
 
--- a/include/plumspoke/control/state.hpp
+++ b/include/plumspoke/control/state.hpp
@@ -19,8 +19,7 @@
 inline constexpr std::size_t max_unfinished_jobs = 200000;
 inline constexpr std::size_t max_claims = 50000;
 inline constexpr std::size_t max_plans = 2000;
-inline constexpr std::size_t set_aside_failure_threshold =
-    3; // distinct jobs failing without a success between
+inline constexpr std::size_t set_aside_failure_threshold = 3; // distinct jobs without a success between
 
 /// @brief The answer to an operator's request, repeated when the request is sent again.
 struct request_record
--- a/src/control/policy_react.cpp
+++ b/src/control/policy_react.cpp
@@ -93,8 +93,7 @@
             continue;
         }
         double contribution = slowdown_contribution(now, worker, measurement, candidate);
-        contribution *=
-            candidate.spec.urgency == priority::urgent ? 0.5 : 1; // urgent jobs are disturbed last
+        contribution *= candidate.spec.urgency == priority::urgent ? 0.5 : 1; // urgent jobs last
         if (worst == nullptr || contribution > worst_contribution)
         {
             worst = &candidate;
