--- a/src/control/slot_allocator.cpp
+++ b/src/control/slot_allocator.cpp
@@ -191,8 +191,7 @@
                       });
         for (const endpoint_config& endpoint : remaining.endpoints)
         {
-            distributed.insert(
-                endpoint.worker); // a worker's first service distributes the slots for all of them
+            distributed.insert(endpoint.worker); // once per worker, for all services that share it
         }
         distribute_slots(remaining, live);
     }
--- a/tests/src/unit-control_crashes.cpp
+++ b/tests/src/unit-control_crashes.cpp
@@ -34,9 +34,9 @@
         received.sequence = ++sequence;
         received.capacity = {8'000, 32'000, 0};
         std::error_code error;
-        for (const command& one : desk.receive(now, state, received, error).commands)
+        for (const command& next : desk.receive(now, state, received, error).commands)
         {
-            (void)apply(one);
+            (void)apply(next);
         }
         REQUIRE_FALSE(error);
     }
@@ -49,9 +49,9 @@
     /// @brief Places the jobs, reports them for the duration `ran` and replaces the process 2 s later.
     void run_and_crash(const std::string& worker, const std::vector<std::string>& jobs, duration ran)
     {
-        for (const std::string& one : jobs)
+        for (const std::string& id : jobs)
         {
-            place_on(worker, one);
+            place_on(worker, id);
         }
         send_report(worker);
         now += ran;
