--- a/bench/control.cpp
+++ b/bench/control.cpp
@@ -2,9 +2,9 @@
 // in one process, each with its own data folder, over gRPC on loopback.
 
 #include "free_address.hpp"
+#include "plumspoke/control/control_state_machine.hpp"
 #include "plumspoke/control/policy.hpp"
 #include "plumspoke/control/slot_allocator.hpp"
-#include "plumspoke/control/state_machine.hpp"
 #include "plumspoke/logging/logging.hpp"
 #include "plumspoke/replica/grpc_transport.hpp"
 #include "plumspoke/worker/desk.hpp"
@@ -54,7 +54,7 @@
 
     void start()
     {
-        machine = std::make_unique<control::state_machine>();
+        machine = std::make_unique<control::control_state_machine>();
         storage_ = std::make_unique<replica::storage>(folder_);
         transport = std::make_unique<replica::grpc_transport>(address_);
         driver =
@@ -82,7 +82,7 @@
         }
     }
 
-    std::unique_ptr<control::state_machine> machine;
+    std::unique_ptr<control::control_state_machine> machine;
     std::unique_ptr<replica::grpc_transport> transport;
     std::unique_ptr<replica::driver> driver;
 
--- a/include/plumspoke/control/state_machine.hpp
+++ b/include/plumspoke/control/control_state_machine.hpp
@@ -12,7 +12,7 @@
 {
 
 /// @brief Applies the log's commands to the state; other threads read it under the lock.
-class state_machine final : public replica::state_machine
+class control_state_machine final : public replica::state_machine
 {
   public:
     std::string apply(replica::log_index index, std::string_view command) override;
--- a/include/plumspoke/control/server.hpp
+++ b/include/plumspoke/control/server.hpp
@@ -4,9 +4,9 @@
 /// @brief The control role's process: replica, leases, slots, scheduler, HTTP and gRPC servers.
 
 #include "plumspoke/control/claim_expiry.hpp"
+#include "plumspoke/control/control_state_machine.hpp"
 #include "plumspoke/control/policy.hpp"
 #include "plumspoke/control/slot_allocator.hpp"
-#include "plumspoke/control/state_machine.hpp"
 #include "plumspoke/http/server.hpp"
 #include "plumspoke/replica/grpc_transport.hpp"
 #include "plumspoke/settings/process_settings.hpp"
@@ -80,7 +80,7 @@
 
     /// @name access
     /// @{
-    [[nodiscard]] const state_machine& state() const noexcept
+    [[nodiscard]] const control_state_machine& state() const noexcept
     {
         return state_machine_;
     }
@@ -107,7 +107,7 @@
     [[nodiscard]] nlohmann::json replica_status_json() const;
 
     settings::process_settings settings_;
-    state_machine state_machine_;
+    control_state_machine state_machine_;
     std::unique_ptr<replica::storage> storage_;
     std::unique_ptr<replica::grpc_transport> transport_;
     std::unique_ptr<replica::driver> driver_;
--- a/src/control/state_machine.cpp
+++ b/src/control/control_state_machine.cpp
@@ -1,4 +1,4 @@
-#include "plumspoke/control/state_machine.hpp"
+#include "plumspoke/control/control_state_machine.hpp"
 
 #include "plumspoke/control/error.hpp"
 #include "plumspoke/error/assert.hpp"
@@ -6,7 +6,7 @@
 namespace plumspoke::control
 {
 
-std::string state_machine::apply(replica::log_index index, std::string_view bytes)
+std::string control_state_machine::apply(replica::log_index index, std::string_view bytes)
 {
     const std::optional<control::command> value = decode(bytes);
     if (!value.has_value())
@@ -18,7 +18,7 @@
     return encode_answer(control::apply(state_, index, *value));
 }
 
-std::string state_machine::save() const
+std::string control_state_machine::save() const
 {
     const std::lock_guard lock(mutex_);
     std::string bytes;
@@ -26,7 +26,7 @@
     return bytes;
 }
 
-void state_machine::restore(std::string_view saved)
+void control_state_machine::restore(std::string_view saved)
 {
     const nlohmann::json value = nlohmann::json::from_cbor(saved, true, false);
     PLUMSPOKE_ASSERT(
