--- a/include/plumspoke/dispatch/dispatcher.hpp
+++ b/include/plumspoke/dispatch/dispatcher.hpp
@@ -1,30 +1,31 @@
 #pragma once
 
 /// @file
-/// @brief The leader's decisions on tasks: where they run, when they are stopped, when a run is surely
-///        over. No I/O, no clock, no lock.
+/// @brief The leader's decisions on tasks: where they run, when they are stopped and when a run has certainly
+///        ended. No I/O, no clock, no locks.
 ///
-/// Rules that keep a task from running twice:
+/// Rules that prevent a task from running twice:
 /// - A run is recorded before its start order is sent.
-/// - All orders carry the leader's term as fencing token. Once a worker has answered this leader, orders
-///   of earlier leaders have no effect there.
-/// - A run is over when its worker lists its end, when the worker's life is over, when the worker has
-///   acknowledged a stop and doesn't list the run any more, or when the latest lease that anyone gave the
-///   worker has surely lapsed on the worker's own clock. Silence alone is never an end.
-/// - All that is known of a worker is known of one life of it; another life may have the same id. A life is
-///   over once another one, whatever its time of birth, has answered what was sent after it was last heard.
+/// - All orders carry the leader's term as fencing token. Once a worker has answered this leader, orders of
+///   earlier leaders have no effect there.
+/// - A run has ended when its worker reports its end, when the worker's life has ended, when the worker has
+///   acknowledged a stop and no longer lists the run, or when the latest lease given to the worker by any
+///   leader has certainly lapsed on the worker's clock. A missing answer alone never ends a run.
+/// - Knowledge about a worker belongs to one life of it; another life may have the same id. A life has ended
+///   once another one, whatever its birth time, has answered a message that was sent after the life was last
+///   heard from.
 
 #include "plumspoke/dispatch/counts.hpp"
 #include "plumspoke/dispatch/held_tasks.hpp"
 #include "plumspoke/dispatch/interference.hpp"
 #include "plumspoke/dispatch/options.hpp"
+#include "plumspoke/dispatch/overload_controller.hpp"
 #include "plumspoke/dispatch/placement_counts.hpp"
 #include "plumspoke/dispatch/recent_crashes.hpp"
-#include "plumspoke/dispatch/retry_pauses.hpp"
+#include "plumspoke/dispatch/retry_backoff.hpp"
 #include "plumspoke/dispatch/short_task_room.hpp"
 #include "plumspoke/dispatch/stage_delays.hpp"
-#include "plumspoke/dispatch/strain.hpp"
-#include "plumspoke/dispatch/task_times.hpp"
+#include "plumspoke/dispatch/step_duration_predictor.hpp"
 #include "plumspoke/dispatch/worker_index.hpp"
 #include "plumspoke/dispatch/worker_view.hpp"
 #include "plumspoke/jobs/store.hpp"
@@ -42,23 +43,24 @@
 namespace plumspoke::dispatch
 {
 
-/// @brief A command for the log, with what it is to change here once it is committed.
+/// @brief A command for the replicated log, identified so that its result can be reported back.
 struct planned_round
 {
     std::uint64_t id = 0;
     jobs::round command;
 };
 
-/// @brief What the shell has to do.
+/// @brief The results of a decision, to be carried out by the caller.
 struct dispatch_output
 {
     std::vector<order> orders;
     std::vector<planned_round> rounds;
     std::vector<logging::event> events;
-    std::vector<std::int64_t> cancels_stopped_ms; // of each cancel whose last run is over: how long it took
+    std::vector<std::int64_t>
+        cancels_stopped_ms; // for each cancelled job whose last run has ended: time since the cancel
 };
 
-/// @brief One leader's view, for the length of its term.
+/// @brief The dispatcher of one leader; its state lasts for one term.
 class dispatcher
 {
   public:
@@ -66,38 +68,40 @@
     /// @{
     explicit dispatcher(dispatch_options options);
 
-    /// @brief Begins a term: forgets all, and takes over what the state records of runs and of images.
+    /// @brief Begins a term: discards all state and takes over the recorded runs and learned effects of
+    /// images.
     void lead(time_point now, std::uint64_t term, const jobs::store& state);
 
-    /// @brief Forgets all; nothing is decided until the next term.
-    void retire();
+    /// @brief Ends the term: discards all state but the counters; nothing is decided until the next term.
+    void step_down();
     /// @}
 
     /// @name events
     /// @{
-    void announced(time_point now, const fleet::announcement& heard);
+    void announced(time_point now, const fleet::announcement& announcement);
 
-    /// @return false where the worker is not known here: it has to be announced whole
-    bool still_alive(time_point now, const fleet::worker_life& worker);
+    /// @return false if the worker is unknown and has to be announced in full
+    bool refresh_liveness(time_point now, const fleet::worker_life& life);
 
-    void said_goodbye(time_point now, const fleet::worker_life& worker);
-    void answered(time_point now, const sent_order& sent, const worker_answer& got);
+    void departed(time_point now, const fleet::worker_life& life);
+    void answered(time_point now, const sent_order& sent, const worker_answer& answer);
 
-    /// @param accepted which starts were recorded; nothing where the round was not committed
+    /// @param accepted which starts were recorded; nullopt if the round was not committed
     void round_ended(time_point now, std::uint64_t id, const std::optional<std::vector<bool>>& accepted);
 
-    /// @brief Takes note of how late the next decision comes, for how much it may take on.
-    void note_late(time_point now, duration late) noexcept
+    /// @brief Records how late the next decision is made, for overload control.
+    void record_lateness(time_point now, duration late) noexcept
     {
-        strain_.note(now, late);
+        overload_.record(now, late);
     }
 
-    /// @brief Takes in how long the last decision took. After one that considered fillers some don't.
+    /// @brief Records the duration of the last decision. After one that considered fillers, the following
+    /// ones skip them for a multiple of that time.
     void on_decided(duration took) noexcept;
 
-    /// @brief Decides what to do next.
-    /// @param now our steady clock
-    /// @param day_ms the agreed time of day, for due times
+    /// @brief Makes the next decision.
+    /// @param now reading of the leader's steady clock
+    /// @param day_ms the agreed time of day in ms, for due times
     [[nodiscard]] dispatch_output decide(time_point now, std::int64_t day_ms, const jobs::store& state);
     /// @}
 
@@ -121,7 +125,7 @@
     }
     [[nodiscard]] bool refuses_jobs(time_point now) const noexcept
     {
-        return strain_.refuses_jobs(now);
+        return overload_.refuses_jobs(now);
     }
     [[nodiscard]] const dispatch_counts& counts() const noexcept
     {
@@ -139,139 +143,147 @@
         return options_.policy.is_on(which);
     }
 
-    // ---- orders (tend.cpp, dispatcher.cpp), rounds (rounds.cpp)
+    // ---- orders (due_orders.cpp, dispatcher.cpp), rounds (rounds.cpp)
     struct round_proposal
     {
         std::vector<jobs::run_name> ends;
         std::vector<jobs::run_name> starts;
         std::vector<jobs::job_id> begun;
-        std::map<fleet::worker_life, std::uint64_t> noted; // ends up to this one
+        std::map<fleet::worker_life, std::uint64_t> recorded_ends; // ends up to this number
     };
-    void settle_starts(time_point now,
-                       const round_proposal& round,
-                       const std::optional<std::vector<bool>>& accepted);
+    void apply_start_results(time_point now,
+                             const round_proposal& round,
+                             const std::optional<std::vector<bool>>& accepted);
     void rollback_ends(time_point now, const round_proposal& round);
     void rollback_begun(time_point now, const round_proposal& round);
     void forget_recorded_ends(time_point now, const round_proposal& round);
-    [[nodiscard]] duration gap_after_ends(time_point now, const worker_view& of) const;
+    [[nodiscard]] duration next_poll_delay(time_point now, const worker_view& worker) const;
     void take_over(time_point now, const jobs::job& from);
     void take_over(time_point now,
                    const jobs::job& from,
                    const jobs::task_name& name,
                    std::span<const jobs::run> recorded);
-    void tend_workers(time_point now, dispatch_output& out);
-    [[nodiscard]] bool tend_worker(time_point now, worker_view& of);
-    void tend_attended(time_point now, const jobs::store& state, dispatch_output& out);
-    void tend_run(time_point now, run_view& of, const jobs::store& state, dispatch_output& out);
-    void order_hold(time_point now, worker_view& of, dispatch_output& out);
-    [[nodiscard]] static bool loses_worker(const run_view& of) noexcept;
-    void order_start(time_point now, run_view& of, const jobs::store& state, dispatch_output& out);
-    void order_stop(time_point now, run_view& of, dispatch_output& out);
-    void tend_ended_jobs(const jobs::store& state);
-    void time_cancels(std::int64_t day_ms, const jobs::store& state, dispatch_output& out);
+    void order_due_polls(time_point now, dispatch_output& out);
+    [[nodiscard]] bool update_worker(time_point now, worker_view& worker);
+    void order_for_actionable_runs(time_point now, const jobs::store& state, dispatch_output& out);
+    void order_for_run(time_point now, run_view& run, const jobs::store& state, dispatch_output& out);
+    void order_poll(time_point now, worker_view& worker, dispatch_output& out);
+    [[nodiscard]] static bool is_worker_leaving(const run_view& run) noexcept;
+    void order_start(time_point now, run_view& run, const jobs::store& state, dispatch_output& out);
+    void order_stop(time_point now, run_view& run, dispatch_output& out);
+    void stop_runs_of_ended_jobs(const jobs::store& state);
+    void measure_cancel_latency(std::int64_t day_ms, const jobs::store& state, dispatch_output& out);
     void propose(std::int64_t day_ms, const jobs::store& state, time_point now, dispatch_output& out);
     [[nodiscard]] std::size_t count_starts_in_flight() const;
     [[nodiscard]] jobs::round plan_round(time_point now, std::int64_t day_ms, const jobs::store& state);
     [[nodiscard]] round_proposal make_proposal(const jobs::round& planned) const;
-    void skip_record(time_point now, const round_proposal& empty);
+    void apply_without_record(time_point now, const round_proposal& empty);
     void forget_old_jobs(std::int64_t day_ms, const jobs::store& state, jobs::round& into);
-    void record_learned(time_point now, jobs::round& into);
+    void record_learned_effects(time_point now, jobs::round& into);
     void record_begun(time_point now, const jobs::store& state, jobs::round& into);
-    void find_due(std::int64_t day_ms, const jobs::store& state, jobs::round& into);
-    [[nodiscard]] std::int64_t lease_for(time_point now, worker_view& of) const;
-    [[nodiscard]] recipient recipient_of(const worker_view& of) const;
-    [[nodiscard]] time_point lapse_of(const worker_view& of) const;
-    void expire_workers(time_point now);
-    void forget_life(const worker_view& of);
-    void look_at_earlier_lives(time_point now, const fleet::announcement& heard);
+    void find_due_occurrences(std::int64_t day_ms, const jobs::store& state, jobs::round& into);
+    [[nodiscard]] std::int64_t lease_for(time_point now, worker_view& worker) const;
+    [[nodiscard]] recipient recipient_of(const worker_view& worker) const;
+    [[nodiscard]] time_point lease_lapse_time(const worker_view& worker) const;
+    void remove_silent_workers(time_point now);
+    void remove_life_from_address(const worker_view& worker);
+    void poll_other_lives(time_point now, const fleet::announcement& announcement);
 
     // ---- bookkeeping (bookkeeping.cpp)
     [[nodiscard]] run_view* find_run(const jobs::run_name& name) noexcept;
-    [[nodiscard]] run_view* find_run_on(worker_view& of, const jobs::run_name& name) noexcept;
+    [[nodiscard]] run_view* find_run_on(worker_view& worker, const jobs::run_name& name) noexcept;
     [[nodiscard]] worker_view* find_worker(const fleet::worker_life& life) noexcept;
     [[nodiscard]] worker_view& find_or_add_worker(const fleet::worker_life& life);
-    [[nodiscard]] worker_view& meet_worker(const fleet::worker_life& life, const std::string& address);
-    [[nodiscard]] std::vector<worker_view*> other_lives(const fleet::worker_life& of);
+    [[nodiscard]] worker_view& find_or_register_worker(const fleet::worker_life& life,
+                                                       const std::string& address);
+    [[nodiscard]] std::vector<worker_view*> other_lives(const fleet::worker_life& life);
     void move_to_life(const jobs::run_name& name, const fleet::worker_life& next);
     [[nodiscard]] std::span<worker_view* const> all_workers();
     void add_run(run_view added);
     void remove_run(const jobs::run_name& name);
-    void note_changed(worker_view& of) noexcept;
-    [[nodiscard]] boost::intrusive_ptr<step_stats> stats_of(const jobs::task_name& name);
-    [[nodiscard]] static bool may_need_order(const run_view& of) noexcept;
-    void attend(run_view& of);
+    void mark_changed(worker_view& worker) noexcept;
+    [[nodiscard]] boost::intrusive_ptr<step_stats> step_stats_of(const jobs::task_name& name);
+    [[nodiscard]] static bool may_need_order(const run_view& run) noexcept;
+    void track_if_actionable(run_view& run);
 
     // ---- answers (answers.cpp)
-    void on(time_point now, const hold_order& sent, time_point sent_at, const worker_answer& got);
-    void on(time_point now, const start_order& sent, time_point sent_at, const worker_answer& got);
-    void on(time_point now, const stop_order& sent, time_point sent_at, const worker_answer& got);
-    void on(time_point now, const pace_order& sent, time_point sent_at, const worker_answer& got);
-    void note_begun(time_point now, const jobs::run_name& name);
-    void note_start_taken(time_point now, worker_view& on, run_view& of);
-    void note_start_unanswered(time_point now, run_view& of);
-    void note_start_late(time_point now, run_view& of);
-    void note_start_rejected(time_point now, worker_view& on, run_view& of, reply how);
-    void shut_out(time_point now, run_view& of, jobs::run_end end_if_absent);
-    worker_view* note_contact(time_point now, const recipient& to, const worker_answer& got);
-    void meet_other_life(time_point now, const recipient& asked, const worker_answer& got);
-    void identify(const recipient& asked, const fleet::worker_life& told);
-    void end_earlier_lives(time_point now, const worker_view& of, time_point sent_at);
-    void take_running(time_point now, time_point sent_at, worker_view& of, const worker_answer& got);
+    void on(time_point now, const poll_order& sent, time_point sent_at, const worker_answer& answer);
+    void on(time_point now, const start_order& sent, time_point sent_at, const worker_answer& answer);
+    void on(time_point now, const stop_order& sent, time_point sent_at, const worker_answer& answer);
+    void on(time_point now, const pace_order& sent, time_point sent_at, const worker_answer& answer);
+    void mark_begun(time_point now, const jobs::run_name& name);
+    void handle_accepted_start(time_point now, worker_view& worker, run_view& run);
+    void handle_unanswered_start(time_point now, run_view& run);
+    void handle_expired_start(time_point now, run_view& run);
+    void handle_rejected_start(time_point now, worker_view& worker, run_view& run, reply how);
+    void fence_run(time_point now, run_view& run, jobs::run_end end_if_absent);
+    worker_view* record_contact(time_point now, const recipient& to, const worker_answer& answer);
+    void handle_other_life(time_point now, const recipient& asked, const worker_answer& answer);
+    void resolve_unnamed_life(const recipient& asked, const fleet::worker_life& named_life);
+    void end_earlier_lives(time_point now, const worker_view& worker, time_point sent_at);
+    void apply_running(time_point now, time_point sent_at, worker_view& worker, const worker_answer& answer);
+    void apply_finished(time_point now,
+                        worker_view& worker,
+                        const contact_snapshot& before,
+                        const worker_answer& answer);
+    void record_finished_start(time_point now, const finished_row& row, const run_view* run);
     void
-    take_finished(time_point now, worker_view& of, const contact_notes& before, const worker_answer& got);
-    void record_end_of_start(time_point now, const finished_row& row, const run_view* run);
-    void find_absent(time_point now, worker_view& of, time_point sent_at, const worker_answer& got);
+    detect_missing_runs(time_point now, worker_view& worker, time_point sent_at, const worker_answer& answer);
     void end_run(time_point now,
-                 run_view& of,
+                 run_view& run,
                  jobs::run_end how,
                  const std::string& saved,
                  jobs::crash_sign sign = jobs::crash_sign::none);
-    [[nodiscard]] bool has_lived(const run_view& of) const;
-    void note_setback(time_point now, const run_view& ended, jobs::run_end how);
-    void note_end(run_view& of, jobs::run_end how, const std::string& saved, jobs::crash_sign sign);
+    [[nodiscard]] bool was_stable(const run_view& run) const;
+    void update_backoff(time_point now, const run_view& ended, jobs::run_end how);
+    void record_end(run_view& run, jobs::run_end how, const std::string& saved, jobs::crash_sign sign);
 
     // ---- crashes (crashes.cpp)
-    /// @param next the life that has answered in its place, where it told itself
+    /// @param next the life that has answered in its place, if it identified itself
     void end_life(time_point now,
-                  worker_view& of,
-                  life_end how,
+                  worker_view& worker,
+                  life_end_cause how,
                   const std::optional<fleet::worker_life>& next = std::nullopt);
     using run_names = std::vector<jobs::run_name>;
-    void
-    write_off(time_point now, run_view& of, jobs::run_end how, jobs::crash_sign sign, run_names* to_next);
+    void end_or_fence(
+        time_point now, run_view& run, jobs::run_end how, jobs::crash_sign sign, run_names* moved_to_next);
     [[nodiscard]] bool is_widespread(time_point now);
-    [[nodiscard]] jobs::crash_sign sign_of_lapse(time_point now, const run_view& of, bool widespread) const;
-    /// @param to_next takes runs that the next life has to shut out; null: there is none
-    void end_crashed(time_point now, worker_view& of, run_names* to_next);
-    void end_lost(time_point now, worker_view& of, run_names* to_next);
-    void close_life(worker_view& of);
-    [[nodiscard]] static bool is_unheard(time_point now, const worker_view& of);
-    [[nodiscard]] bool waits_apart(time_point now, const jobs::task_name& suspect, const worker_view& best);
-    [[nodiscard]] double crash_risk_cost(time_point now, const worker_view& of) const;
+    [[nodiscard]] jobs::crash_sign
+    crash_sign_of_lapse(time_point now, const run_view& run, bool widespread) const;
+    /// @param moved_to_next receives runs that have to be fenced on the next life; null: there is no next
+    /// life
+    void end_crashed_runs(time_point now, worker_view& worker, run_names* moved_to_next);
+    void end_lost_runs(time_point now, worker_view& worker, run_names* moved_to_next);
+    void mark_life_ended(worker_view& worker);
+    [[nodiscard]] static bool is_announcement_overdue(time_point now, const worker_view& worker);
+    [[nodiscard]] bool
+    waits_for_isolation(time_point now, const jobs::task_name& suspect, const worker_view& best);
+    [[nodiscard]] double crash_risk_cost(time_point now, const worker_view& worker) const;
 
     // ---- lapses (lapses.cpp)
-    void end_lapsed(time_point now, worker_view& of);
+    void end_lapsed_runs(time_point now, worker_view& worker);
     void end_lapsed_run(time_point now,
-                        lapse_finder found_by,
-                        const contact_notes& contact,
-                        run_view& of,
+                        lapse_detector found_by,
+                        const contact_snapshot& contact,
+                        run_view& run,
                         const std::string& saved,
                         jobs::crash_sign sign);
-    [[nodiscard]] lapse_cause cause_of_lapse(lapse_finder found_by, const contact_notes& contact) const;
-    void note_quality(time_point now, worker_view& of, const run_view& ended, jobs::run_end how);
-    void blame(time_point now, worker_view& of, const jobs::job_id& job, double weight, std::string_view why);
+    [[nodiscard]] lapse_cause cause_of_lapse(lapse_detector found_by, const contact_snapshot& contact) const;
+    void update_failure_score(time_point now, worker_view& worker, const run_view& ended, jobs::run_end how);
+    void penalize_worker(
+        time_point now, worker_view& worker, const jobs::job_id& job, double weight, std::string_view why);
 
     // ---- ready steps (ready_steps.cpp)
     struct ready_step; // in ready_step.hpp
-    [[nodiscard]] std::vector<ready_step> find_ready(std::int64_t day_ms, const jobs::store& state);
-    [[nodiscard]] bool has_waiting(const jobs::step& of, const jobs::step_spec& spec) const;
-    void rank(ready_step& of, std::int64_t day_ms) const;
-    [[nodiscard]] bool is_urgent(const ready_step& of, std::int64_t day_ms) const;
-    [[nodiscard]] static bool has_lost_run(const ready_step& of);
-    [[nodiscard]] bool has_runs(const jobs::job& of) const;
-    struct chain_times;
-    [[nodiscard]] chain_times predict_chain(const ready_step& of) const;
-    [[nodiscard]] double predict_step_ms(const jobs::job& of, std::uint32_t step) const;
+    [[nodiscard]] std::vector<ready_step> find_ready_steps(std::int64_t day_ms, const jobs::store& state);
+    [[nodiscard]] bool has_waiting(const jobs::step& step, const jobs::step_spec& spec) const;
+    void rank(ready_step& ready, std::int64_t day_ms) const;
+    [[nodiscard]] bool is_urgent(const ready_step& ready, std::int64_t day_ms) const;
+    [[nodiscard]] static bool has_lost_run(const ready_step& ready);
+    [[nodiscard]] bool has_runs(const jobs::job& job) const;
+    struct chain_durations;
+    [[nodiscard]] chain_durations predict_chain(const ready_step& ready) const;
+    [[nodiscard]] double predict_step_ms(const jobs::job& job, std::uint32_t step) const;
 
     // ---- placement (placement.cpp)
     /// @brief Names a step of one occurrence; first starts and later ones find room apart.
@@ -341,7 +353,7 @@
     {
         yes,
         none_fits,
-        waits_apart, // the best worker holds another suspect
+        waits_for_isolation, // the best worker holds another suspect
     };
     granted place_task(const ready_step& what,
                        const waiting_task& task,
@@ -447,15 +459,15 @@
     void watch_runs(time_point now, const jobs::store& state);
     void watch_workers(time_point now, const jobs::store& state);
     [[nodiscard]] duration sweep_interval() const noexcept;
-    void watch_run(time_point now, run_view& of);
-    void retry_unreported_stop(time_point now, run_view& of);
-    static void stop_needless_copy(run_view& of, const jobs::store& state);
-    void move_run(time_point now, run_view& of, std::string_view why);
+    void watch_run(time_point now, run_view& run);
+    void retry_unconfirmed_stop(time_point now, run_view& run);
+    static void stop_redundant_copy(run_view& run, const jobs::store& state);
+    void move_run(time_point now, run_view& run, std::string_view why);
     [[nodiscard]] int slow_moves_of(const jobs::task_name& task) const;
-    void move_standing(time_point now, run_view& of);
-    void move_straggler(time_point now, run_view& of);
+    void move_stalled_run(time_point now, run_view& run);
+    void move_straggling_run(time_point now, run_view& run);
     void forget_ended_jobs(const jobs::store& state);
-    void watch_draining(time_point now, worker_view& of, const jobs::store& state);
+    void watch_draining(time_point now, worker_view& worker, const jobs::store& state);
     void summarize(time_point now, const jobs::store& state);
 
     // ---- what holds tasks back (held_watch.cpp)
@@ -489,31 +501,32 @@
     void stop_unknown_runs(dispatch_output& out);
 
     dispatch_options options_;
-    strain strain_;
+    overload_controller overload_;
     std::uint64_t term_ = 0;
     time_point leading_since_{};
     time_point decided_at_{}; // the last decision before this one
     std::map<fleet::worker_life, worker_view> workers_;
-    // The same, for each answer, without a tree's comparisons of texts.
+    // Index of `workers_` for lookups by answer, without the string comparisons of the tree.
     std::unordered_map<fleet::worker_life, worker_view*, fleet::worker_life_hash> worker_by_life_;
-    // The same by name, for walks over all of them: a tree's nodes lie far apart.
+    // The workers in order of their lives, for iteration: tree nodes are scattered in memory.
     std::vector<worker_view*> worker_list_;
     bool worker_list_stale_ = true;
-    std::map<std::string, std::set<fleet::worker_life>> lives_at_; // address: who was announced there
+    std::map<std::string, std::set<fleet::worker_life>> lives_at_; // lives announced at each address
     std::map<jobs::run_name, run_view> runs_;
-    attended_runs attended_;    // the only runs that a decision looks at; all others need no order now
-    std::uint64_t changes_ = 0; // of workers, as far as a placement looks at them
+    actionable_runs actionable_; // the only runs that a decision visits; all others need no order
+    std::uint64_t changes_ = 0;  // of workers, as far as a placement looks at them
     std::map<jobs::task_name, std::set<fleet::worker_life>> failed_on_; // where a task has failed
     std::set<jobs::task_name> copy_wanted_;
     std::size_t held_count_ = 0; // workers whose room is kept for urgent tasks, as of the last placement
     std::map<step_id, full_step> full_steps_; // what found no room at the last placement
     std::map<std::pair<jobs::job_id, std::uint32_t>, boost::intrusive_ptr<step_stats>> steps_; // by job, step
-    std::map<jobs::job_id, std::int64_t> cancelled_at_ms_; // cancelled jobs with runs that may go on
+    std::map<jobs::job_id, std::int64_t>
+        cancelled_at_ms_; // cancelled jobs with runs that may still be running
     std::vector<jobs::run_ended> pending_ends_;
-    std::set<jobs::job_id> begun_jobs_; // of which a worker has begun a task, to be recorded
-    time_point begun_due_{};            // when that is recorded though nothing else is
+    std::set<jobs::job_id> begun_jobs_; // jobs with a task begun by a worker, to be recorded
+    time_point begun_due_{};            // when these are recorded even without anything else to record
     std::vector<std::pair<fleet::worker_life, jobs::run_name>>
-        unknown_runs_; // run where nobody asked for them
+        unknown_runs_; // listed by workers but unknown here
     std::map<std::uint64_t, round_proposal> in_flight_;
     std::uint64_t next_round_ = 1;
     std::uint64_t placements_ = 0;
@@ -539,14 +552,15 @@
     bool room_changed_ = true;
     std::map<std::string, kept_room> kept_rooms_; // by pool
     time_point next_short_look_at_{};
-    task_times task_times_;
+    step_duration_predictor duration_predictor_;
     bool ignore_set_aside_ = false; // too many workers are set aside to do without them
     interference interference_;
     recent_crashes recent_crashes_;
-    retry_pauses retry_pauses_;
-    std::map<jobs::task_name, int> slow_moves_;         // moves as a straggler, or since it stood still
-    std::map<jobs::task_name, time_point> apart_since_; // suspects that found no worker without another one
-    double calm_slack_;                                 // the least that undisturbed serving tasks had lately
+    retry_backoff retry_backoff_;
+    std::map<jobs::task_name, int> slow_moves_; // moves as a straggler or stalled run
+    std::map<jobs::task_name, time_point>
+        isolation_wait_since_; // suspects that found only workers with another suspect
+    double calm_slack_;        // the least that undisturbed serving tasks had lately
     std::vector<logging::event> events_;
     dispatch_counts counts_;
     placement_counts window_; // since the last line about it
--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief A term's course: what it takes over, what it hears, and what it decides.
+/// @brief The course of a term: take-over of recorded runs, events and decisions.
 
 #include "plumspoke/dispatch/dispatcher.hpp"
 #include "pace_limits.hpp"
@@ -14,11 +14,12 @@
 namespace
 {
 
-// Between placements of fillers, as a multiple of a decision's length; their objectives are seconds.
-constexpr int filler_rest_factor = 5;
-constexpr auto max_filler_rest = milliseconds(200);
-constexpr auto watch_interval = milliseconds(100); // workers' reports come about once a second
-// Of fillers that an earlier leader may have slowed: neither do they stand still for ever, nor harm at once.
+// Pause between placements of fillers as a multiple of a decision's duration; their objectives are seconds.
+constexpr int filler_pause_factor = 5;
+constexpr auto max_filler_pause = milliseconds(200);
+constexpr auto watch_interval = milliseconds(100); // workers report about once a second
+// Initial pace of fillers that an earlier leader may have slowed: they neither stall for ever nor
+// cause harm at once.
 constexpr std::uint32_t inherited_pace = 60; // percent; below it a task would be moved
 
 } // namespace
@@ -29,7 +30,7 @@
 {
 }
 
-void dispatcher::retire()
+void dispatcher::step_down()
 {
     const dispatch_counts counts = counts_;
     *this = dispatcher(options_);
@@ -38,7 +39,7 @@
 
 void dispatcher::lead(time_point now, std::uint64_t term, const jobs::store& state)
 {
-    retire();
+    step_down();
     term_ = term;
     leading_since_ = now;
     decided_at_ = now;
@@ -51,10 +52,11 @@
         }
         take_over(now, job);
     }
-    events_.push_back(logging::event("dispatch", "leading", "Took over the recorded runs.")
-                          .with("term", static_cast<std::int64_t>(term))
-                          .with("runs", static_cast<std::int64_t>(runs_.size()))
-                          .with("workers", static_cast<std::int64_t>(workers_.size())));
+    events_.push_back(
+        logging::event("dispatch", "leading", "Began a term as leader and took over the recorded runs.")
+            .with("term", static_cast<std::int64_t>(term))
+            .with("runs", static_cast<std::int64_t>(runs_.size()))
+            .with("workers", static_cast<std::int64_t>(workers_.size())));
 }
 
 void dispatcher::take_over(time_point now, const jobs::job& from)
@@ -88,101 +90,101 @@
         added.stop_wanted = jobs::is_final(from.phase);
         added.pace_unknown = added.filler;
         added.wanted_pace = added.filler ? inherited_pace : added.wanted_pace;
-        meet_worker(one.worker, one.address).has_inherited = true;
+        find_or_register_worker(one.worker, one.address).has_inherited_runs = true;
         add_run(std::move(added));
     }
 }
 
 // ---- events ------------------------------------------------------------------------------------
 
-void dispatcher::announced(time_point now, const fleet::announcement& heard)
+void dispatcher::announced(time_point now, const fleet::announcement& announcement)
 {
     if (!leading())
     {
         return;
     }
-    worker_view& of = find_or_add_worker(heard.life);
-    if (of.announced && heard.sequence < of.info.sequence)
+    worker_view& worker = find_or_add_worker(announcement.life);
+    if (worker.announced && announcement.sequence < worker.info.sequence)
     {
         return;
     }
-    const bool was_draining = of.announced && of.info.state == fleet::worker_state::draining;
-    const bool first = !of.announced;
-    const bool is_news =
-        first || !of.info.says_the_same(heard) || now >= of.announced_at + options_.announce_silence;
-    of.info = heard;
-    of.announced = true;
-    of.announced_at = now;
+    const bool was_draining = worker.announced && worker.info.state == fleet::worker_state::draining;
+    const bool first = !worker.announced;
+    const bool is_news = first || !worker.info.says_the_same(announcement) ||
+                         now >= worker.announced_at + options_.announcement_timeout;
+    worker.info = announcement;
+    worker.announced = true;
+    worker.announced_at = now;
     if (is_news)
     {
-        room_changed_ = true; // else each of some 450 announcements a second would lead to a placement
-        note_changed(of);
+        room_changed_ = true; // otherwise each of about 450 announcements a second would cause a placement
+        mark_changed(worker);
     }
     if (first)
     {
-        of.next_hold_at = std::min(of.next_hold_at, now);
+        worker.next_poll_at = std::min(worker.next_poll_at, now);
         events_.push_back(logging::event("dispatch", "worker_known", "A worker has announced itself.")
-                              .with("worker", heard.life.id)
-                              .with("born_ms", heard.life.born_ms)
-                              .with("address", heard.address)
-                              .with("rack", heard.rack));
-        look_at_earlier_lives(now, heard);
+                              .with("worker", announcement.life.id)
+                              .with("born_ms", announcement.life.born_ms)
+                              .with("address", announcement.address)
+                              .with("rack", announcement.rack));
+        poll_other_lives(now, announcement);
     }
-    const bool goes = heard.state == fleet::worker_state::doubtful && was_draining;
-    if (heard.state == fleet::worker_state::gone || goes)
+    const bool has_left = announcement.state == fleet::worker_state::doubtful && was_draining;
+    if (announcement.state == fleet::worker_state::gone || has_left)
     {
-        said_goodbye(now, heard.life);
+        departed(now, announcement.life);
         return;
     }
-    if (heard.state == fleet::worker_state::doubtful)
+    if (announcement.state == fleet::worker_state::doubtful)
     {
-        of.next_hold_at = std::min(of.next_hold_at, now);
+        worker.next_poll_at = std::min(worker.next_poll_at, now);
     }
-    if (heard.state == fleet::worker_state::draining && !was_draining)
+    if (announcement.state == fleet::worker_state::draining && !was_draining)
     {
         events_.push_back(logging::event("dispatch", "worker_draining", "A worker is leaving.")
-                              .with("worker", heard.life.id)
-                              .with("born_ms", heard.life.born_ms)
-                              .with("time_left_ms", heard.time_left_ms));
+                              .with("worker", announcement.life.id)
+                              .with("born_ms", announcement.life.born_ms)
+                              .with("time_left_ms", announcement.time_left_ms));
         next_watch_at_ = now;
     }
 }
 
-void dispatcher::look_at_earlier_lives(time_point now, const fleet::announcement& heard)
+void dispatcher::poll_other_lives(time_point now, const fleet::announcement& announcement)
 {
-    std::set<fleet::worker_life>& lives = lives_at_[heard.address];
-    lives.insert(heard.life);
+    std::set<fleet::worker_life>& lives = lives_at_[announcement.address];
+    lives.insert(announcement.life);
     for (const fleet::worker_life& life : lives)
     {
-        if (worker_view* other = find_worker(life); other != nullptr && life != heard.life)
+        if (worker_view* other = find_worker(life); other != nullptr && life != announcement.life)
         {
-            other->next_hold_at = now; // its own answer tells whether the old life is over
+            other->next_poll_at = now; // its answer shows whether the earlier life has ended
         }
     }
 }
 
-bool dispatcher::still_alive(time_point now, const fleet::worker_life& worker)
+bool dispatcher::refresh_liveness(time_point now, const fleet::worker_life& life)
 {
-    worker_view* of = find_worker(worker);
-    if (of == nullptr || !of->announced)
+    worker_view* worker = find_worker(life);
+    if (worker == nullptr || !worker->announced)
     {
         return false;
     }
-    of->announced_at = now;
+    worker->announced_at = now;
     return true;
 }
 
-void dispatcher::said_goodbye(time_point now, const fleet::worker_life& worker)
+void dispatcher::departed(time_point now, const fleet::worker_life& life)
 {
-    worker_view* of = find_worker(worker);
-    if (of == nullptr || of->over_at.has_value())
+    worker_view* worker = find_worker(life);
+    if (worker == nullptr || worker->departs_at.has_value())
     {
         return;
     }
-    // It ends right after the goodbye; half a second covers a slow way out.
-    of->over_at = now + milliseconds(500);
+    // The worker ends right after this announcement; 500 ms allow for a slow exit.
+    worker->departs_at = now + milliseconds(500);
     room_changed_ = true;
-    note_changed(*of);
+    mark_changed(*worker);
 }
 
 // ---- decisions ---------------------------------------------------------------------------------
@@ -194,8 +196,8 @@
     {
         return out;
     }
-    tend_ended_jobs(state);
-    time_cancels(day_ms, state, out);
+    stop_runs_of_ended_jobs(state);
+    measure_cancel_latency(day_ms, state, out);
     if (now >= next_watch_at_)
     {
         const metrics::measured_part watching(metrics::loop_part::watch);
@@ -206,15 +208,15 @@
             watch_runs(now, state);
         }
         watch_workers(now, state);
-        expire_workers(now);
+        remove_silent_workers(now);
         summarize(now, state);
         watch_held(now, day_ms, state);
     }
-    tend_workers(now, out);
+    order_due_polls(now, out);
     propose(day_ms, state, now, out);
-    tend_attended(now, state, out);
+    order_for_actionable_runs(now, state, out);
     stop_unknown_runs(out);
-    // Polls and starts of a large fleet take long to hand out; a stop has a time limit towards the user.
+    // Sending the polls and starts of a large fleet takes long, while stops have a time limit for the user.
     std::stable_partition(out.orders.begin(),
                           out.orders.end(),
                           [](const order& one)
@@ -231,11 +233,11 @@
     if (considers_fillers_)
     {
         next_filler_placement_at_ =
-            decided_at_ + std::min<duration>(filler_rest_factor * took, max_filler_rest);
+            decided_at_ + std::min<duration>(filler_pause_factor * took, max_filler_pause);
     }
 }
 
-void dispatcher::tend_ended_jobs(const jobs::store& state)
+void dispatcher::stop_runs_of_ended_jobs(const jobs::store& state)
 {
     for (const jobs::job_id& id : state.leftover())
     {
@@ -243,12 +245,12 @@
         for (auto at = first; at != runs_.end() && at->first.task.job == id; ++at)
         {
             at->second.stop_wanted = true;
-            attend(at->second);
+            track_if_actionable(at->second);
         }
     }
 }
 
-void dispatcher::time_cancels(std::int64_t day_ms, const jobs::store& state, dispatch_output& out)
+void dispatcher::measure_cancel_latency(std::int64_t day_ms, const jobs::store& state, dispatch_output& out)
 {
     for (const jobs::job_id& id : state.leftover())
     {
@@ -275,7 +277,7 @@
     unconfirmed_runs out;
     const jobs::job_id* job = nullptr;
     bool job_confirmed = true;
-    for (const auto& [name, of] : runs_) // the runs of a job follow one another
+    for (const auto& [name, run] : runs_) // the runs of a job follow one another
     {
         if (job == nullptr || *job != name.task.job)
         {
@@ -283,85 +285,88 @@
             job = &name.task.job;
             job_confirmed = false;
         }
-        const bool open = of.stage == run_stage::ordered || of.stage == run_stage::inherited;
-        job_confirmed = job_confirmed || (!open && of.stage != run_stage::proposed);
+        const bool open = run.stage == run_stage::ordered || run.stage == run_stage::inherited;
+        job_confirmed = job_confirmed || (!open && run.stage != run_stage::proposed);
         if (open)
         {
-            ++(of.inherited ? out.inherited : out.own);
-            out.oldest = std::max(out.oldest, std::chrono::duration_cast<duration>(now - of.recorded_at));
+            ++(run.inherited ? out.inherited : out.own);
+            out.oldest = std::max(out.oldest, std::chrono::duration_cast<duration>(now - run.recorded_at));
         }
     }
     out.jobs += job_confirmed ? 0 : 1;
-    out.unrenewed_workers = static_cast<std::uint64_t>(
-        std::count_if(workers_.begin(),
-                      workers_.end(),
-                      [](const auto& entry)
-                      {
-                          const worker_view& of = entry.second;
-                          return of.has_inherited && !of.runs.empty() && of.lease_sent_at == time_point{};
-                      }));
+    out.unrenewed_workers = static_cast<std::uint64_t>(std::count_if(
+        workers_.begin(),
+        workers_.end(),
+        [](const auto& entry)
+        {
+            const worker_view& worker = entry.second;
+            return worker.has_inherited_runs && !worker.runs.empty() && worker.lease_sent_at == time_point{};
+        }));
     return out;
 }
 
-std::int64_t dispatcher::lease_for(time_point now, worker_view& of) const
+std::int64_t dispatcher::lease_for(time_point now, worker_view& worker) const
 {
     const std::int64_t until =
-        of.clock.at_least(now) + std::chrono::duration_cast<milliseconds>(options_.lease).count();
-    of.lease_sent_ms = std::max(of.lease_sent_ms, until);
-    if (of.lease_sent_at != time_point{})
+        worker.clock.lower_bound(now) + std::chrono::duration_cast<milliseconds>(options_.lease).count();
+    worker.lease_sent_ms = std::max(worker.lease_sent_ms, until);
+    if (worker.lease_sent_at != time_point{})
     {
-        of.lease_gap = std::max(of.lease_gap, std::chrono::duration_cast<duration>(now - of.lease_sent_at));
+        worker.max_lease_gap =
+            std::max(worker.max_lease_gap, std::chrono::duration_cast<duration>(now - worker.lease_sent_at));
     }
-    of.lease_sent_at = now;
-    of.first_lease_at = of.first_lease_at == time_point{} ? now : of.first_lease_at;
+    worker.lease_sent_at = now;
+    worker.first_lease_at = worker.first_lease_at == time_point{} ? now : worker.first_lease_at;
     return until;
 }
 
-recipient dispatcher::recipient_of(const worker_view& of) const
+recipient dispatcher::recipient_of(const worker_view& worker) const
 {
-    return {of.info.life, of.info.address};
+    return {worker.info.life, worker.info.address};
 }
 
-time_point dispatcher::lapse_of(const worker_view& of) const
+time_point dispatcher::lease_lapse_time(const worker_view& worker) const
 {
     const auto stretched = duration(static_cast<std::int64_t>(
         static_cast<double>(duration(options_.lease).count()) / options_.slowest_clock));
-    time_point lapse =
-        of.has_inherited && !of.contacted ? leading_since_ + stretched + options_.lapse_margin : time_point{};
-    if (of.lease_sent_ms > 0)
+    time_point lapse = worker.has_inherited_runs && !worker.contacted
+                           ? leading_since_ + stretched + options_.lapse_margin
+                           : time_point{};
+    if (worker.lease_sent_ms > 0)
     {
-        lapse = std::max(lapse, of.clock.surely_past(of.lease_sent_ms) + options_.lapse_margin);
+        lapse = std::max(lapse, worker.clock.certainly_past(worker.lease_sent_ms) + options_.lapse_margin);
     }
     if (lapse == time_point{})
     {
-        return time_point::max(); // nothing was ever ordered there
+        return time_point::max(); // no order was ever sent there
     }
     return lapse;
 }
 
-void dispatcher::forget_life(const worker_view& of)
+void dispatcher::remove_life_from_address(const worker_view& worker)
 {
     worker_list_stale_ = true;
-    const auto lives = lives_at_.find(of.info.address);
-    if (lives != lives_at_.end() && lives->second.erase(of.info.life) > 0 && lives->second.empty())
+    const auto lives = lives_at_.find(worker.info.address);
+    if (lives != lives_at_.end() && lives->second.erase(worker.info.life) > 0 && lives->second.empty())
     {
         lives_at_.erase(lives);
     }
 }
 
-void dispatcher::expire_workers(time_point now)
+void dispatcher::remove_silent_workers(time_point now)
 {
     std::erase_if(workers_,
                   [&](const auto& entry)
                   {
-                      const worker_view& of = entry.second;
-                      const time_point last_heard = std::max(of.announced_at, of.answered_at);
-                      const bool silent = !of.announced || last_heard + 2 * options_.announce_silence < now;
-                      const bool over = silent && of.runs.empty() && !of.hold_in_flight &&
-                                        of.ends_proposed == of.ends_noted;
+                      const worker_view& worker = entry.second;
+                      const time_point last_heard = std::max(worker.announced_at, worker.answered_at);
+                      const bool silent =
+                          !worker.announced || last_heard + 2 * options_.announcement_timeout < now;
+                      const bool over = silent && worker.runs.empty() && !worker.poll_in_flight &&
+                                        worker.ends_proposed == worker.ends_recorded;
                       if (over)
                       {
-                          forget_life(of);
+                          remove_life_from_address(worker);
                           worker_by_life_.erase(entry.first);
                       }
                       return over;
--- a/tests/src/dispatcher_fixture.hpp
+++ b/tests/src/dispatcher_fixture.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief A dispatcher with workers that answer as a test says, for the tests of single decisions.
+/// @brief A dispatcher with simulated workers, for tests of single decisions.
 
 #include "plumspoke/dispatch/dispatcher.hpp"
 
@@ -14,7 +14,7 @@
 const time_point start{seconds(1000)};
 constexpr std::int64_t day_ms = 1'000'000;
 
-/// @brief A leader with workers that answer as the test says.
+/// @brief A leader whose workers give the answers that the test supplies.
 struct fixture
 {
     fixture()
@@ -51,7 +51,7 @@
         leader.announced(now, worker);
     }
 
-    /// @brief A life of a worker says what it is; all at one address, whatever their id.
+    /// @brief Announces a life of a worker; all lives share one address, whatever their id.
     fleet::announcement announce_life(const fleet::worker_life& life, std::uint64_t sequence, jobs::room room)
     {
         fleet::announcement worker;
@@ -64,14 +64,14 @@
         return worker;
     }
 
-    /// @brief Whether the worker that now has this life would carry out an order to that recipient.
+    /// @brief Whether a worker in this life would carry out an order to that recipient.
     [[nodiscard]] static bool reaches(const recipient& to, const fleet::worker_life& life)
     {
-        const bool is_told = to.worker.born_ms != 0;
-        return to.worker.id == life.id && (!is_told || to.worker == life);
+        const bool has_birth_time = to.worker.born_ms != 0;
+        return to.worker.id == life.id && (!has_birth_time || to.worker == life);
     }
 
-    /// @brief Lets time pass, decides, and keeps the orders; rounds wait for commit().
+    /// @brief Advances the time, decides and keeps the orders; rounds wait for commit().
     void decide(duration passed = milliseconds(25))
     {
         now += passed;
@@ -86,9 +86,9 @@
         orders.clear();
         for (order& one : out.orders)
         {
-            if (const auto* hold = std::get_if<hold_order>(&one); hold != nullptr)
+            if (const auto* poll = std::get_if<poll_order>(&one); poll != nullptr)
             {
-                open_holds.push_back(*hold);
+                open_polls.push_back(*poll);
             }
             else
             {
@@ -119,40 +119,40 @@
         return found;
     }
 
-    void answer(const order& what, worker_answer got)
+    void answer(const order& what, worker_answer response)
     {
-        if (got.how != reply::none)
+        if (response.how != reply::none)
         {
-            got.clock_ms = 5000 + std::chrono::duration_cast<milliseconds>(now - start).count();
+            response.clock_ms = 5000 + std::chrono::duration_cast<milliseconds>(now - start).count();
         }
-        leader.answered(now, {what, now}, got);
+        leader.answered(now, {what, now}, response);
     }
 
-    /// @brief Answers the oldest open poll of a worker.
-    void answer_hold(worker_answer got)
+    /// @brief Answers the oldest open poll.
+    void answer_poll(worker_answer response)
     {
-        REQUIRE_FALSE(open_holds.empty());
-        const hold_order sent = open_holds.front();
-        open_holds.erase(open_holds.begin());
-        answer(sent, std::move(got));
+        REQUIRE_FALSE(open_polls.empty());
+        const poll_order sent = open_polls.front();
+        open_polls.erase(open_polls.begin());
+        answer(sent, std::move(response));
     }
 
-    /// @brief Answers all open polls with these rows; one worker may be silent.
-    void answer_holds(const std::vector<running_row>& rows = {}, const std::string& silent = {})
+    /// @brief Answers all open polls with these rows; one worker may stay silent.
+    void answer_polls(const std::vector<running_row>& rows = {}, const std::string& silent = {})
     {
-        for (const hold_order& one : std::exchange(open_holds, {}))
+        for (const poll_order& one : std::exchange(open_polls, {}))
         {
-            worker_answer got;
-            got.how = one.to.worker.id == silent ? reply::none : reply::done;
+            worker_answer response;
+            response.how = one.to.worker.id == silent ? reply::none : reply::done;
             for (const running_row& row : rows)
             {
                 const run_view& run = leader.runs().at(row.name);
-                if (run.worker == one.to.worker && got.how == reply::done)
+                if (run.worker == one.to.worker && response.how == reply::done)
                 {
-                    got.running.push_back(row);
+                    response.running.push_back(row);
                 }
             }
-            answer(one, got);
+            answer(one, response);
         }
     }
 
@@ -171,7 +171,7 @@
     dispatcher leader{dispatch_options{}};
     std::vector<planned_round> rounds;
     std::vector<order> orders; // of the last decision, without polls
-    std::vector<hold_order> open_holds;
+    std::vector<poll_order> open_polls;
     std::vector<logging::event> events;           // of the last decision
     std::vector<std::int64_t> cancels_stopped_ms; // of the last decision
 };
