--- a/src/control/server_pages.cpp
+++ b/src/control/server_pages.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief What the control role shows of itself: its state at a glance, and its counters.
+/// @brief The control role's status document and metrics page.
 
 #include "api.hpp"
 #include "plumspoke/control/server.hpp"
@@ -13,9 +13,11 @@
     nlohmann::json replicas = nlohmann::json::array();
     for (std::size_t i = 0; i < status.members.members.size(); ++i)
     {
-        const replica::member& one = status.members.members[i];
-        nlohmann::json row = {
-            {"name", one.name}, {"id", one.id}, {"voter", one.voter}, {"leader", one.id == status.leader}};
+        const replica::member& replica_member = status.members.members[i];
+        nlohmann::json row = {{"name", replica_member.name},
+                              {"id", replica_member.id},
+                              {"voter", replica_member.voter},
+                              {"leader", replica_member.id == status.leader}};
         if (status.is_leader())
         {
             row["lag"] = status.last_index - std::min(status.last_index, status.match.at(i));
@@ -38,7 +40,7 @@
     result["replicas"] = replica_status_json();
     const std::lock_guard lock(mutex_);
     nlohmann::json entries = nlohmann::json::array();
-    for (const auto& [key, entry] : ledger_.entries())
+    for (const auto& [key, entry] : slot_allocator_.entries())
     {
         std::int64_t slots = 0;
         for (const auto& [worker, held] : entry.outstanding)
@@ -47,16 +49,16 @@
         }
         entries.push_back({{"entry", entry.entry},
                            {"version", entry.version_in_force},
-                           {"serving", ledger_.may_serve(now, entry)},
+                           {"serving", slot_allocator_.may_serve(now, entry)},
                            {"slots", slots}});
     }
     result["entries"] = entries;
-    machine_.read(
+    state_machine_.read(
         [&](const control_state& state)
         {
             result["version"] = state.config.version;
             result["changed_by"] = state.config.changed_by;
-            result["in_force"] = ledger_.in_force(now, state.config.version);
+            result["in_force"] = slot_allocator_.in_force(now, state.config.version);
             nlohmann::json workers = nlohmann::json::array();
             for (const auto& [name, worker] : state.workers)
             {
@@ -66,18 +68,18 @@
                                    {"used", worker.used},
                                    {"tasks", worker.jobs.size()},
                                    {"live", desk_.is_live(now, name)},
-                                   {"leaving", leaving_.contains(name)},
+                                   {"leaving", leaving_workers_.contains(name)},
                                    {"set_aside", worker.set_aside}});
             }
             result["workers"] = workers;
             std::map<std::string, std::uint64_t> phases;
             nlohmann::json cannot_run = nlohmann::json::array();
-            for (const auto& [id, one] : state.jobs)
+            for (const auto& [id, record] : state.jobs)
             {
-                ++phases[nlohmann::json(one.phase).get<std::string>()];
-                if (one.phase == job_phase::cannot_run)
+                ++phases[nlohmann::json(record.phase).get<std::string>()];
+                if (record.phase == job_phase::cannot_run)
                 {
-                    cannot_run.push_back({{"job", id}, {"reason", one.reason}});
+                    cannot_run.push_back({{"job", id}, {"reason", record.reason}});
                 }
             }
             result["jobs"] = phases;
@@ -89,7 +91,7 @@
 std::string server::metrics_text() const
 {
     std::vector<metrics::counter_line> lines;
-    machine_.read(
+    state_machine_.read(
         [&lines](const control_state& state)
         {
             const nlohmann::json counters = state.counters;
--- a/src/control/slot_ledger.cpp
+++ b/src/control/slot_allocator.cpp
@@ -1,4 +1,4 @@
-#include "plumspoke/control/slot_ledger.hpp"
+#include "plumspoke/control/slot_allocator.hpp"
 
 #include "plumspoke/error/invariant.hpp"
 
@@ -11,7 +11,7 @@
 {
 
 constexpr auto target_interval = milliseconds(1000);
-constexpr double smallest_weight = 0.25; // of the mean: an idle entry keeps some slots for what comes next
+constexpr double min_weight_fraction = 0.25; // of the mean; leaves idle entries slots for new requests
 
 std::string entry_key(const std::string& entry, const std::string& incarnation)
 {
@@ -28,37 +28,38 @@
     return longest;
 }
 
-/// @brief An entry's claim to the next slot, in shares of one.
-struct credit
+/// @brief An entry's state in smooth weighted round-robin; the weights sum to 1.
+struct weighted_entry
 {
     const entry_view* entry = nullptr;
     double weight = 0;
-    double balance = 0;
+    double current_weight = 0;
 };
 
-std::vector<credit> make_credits(const service_config& service, const std::vector<const entry_view*>& live)
+std::vector<weighted_entry> make_weighted_entries(const service_config& service,
+                                                  const std::vector<const entry_view*>& live)
 {
-    std::vector<credit> credits;
+    std::vector<weighted_entry> weighted;
     double total = 0;
     for (const entry_view* entry : live)
     {
         const auto found = entry->wanted.find(service.name);
         const double wanted = found == entry->wanted.end() ? 0 : static_cast<double>(found->second);
-        credits.push_back({entry, wanted, 0});
+        weighted.push_back({entry, wanted, 0});
         total += wanted;
     }
     const double mean = total / static_cast<double>(live.size());
     double weights = 0;
-    for (credit& one : credits)
+    for (weighted_entry& share : weighted)
     {
-        one.weight = mean <= 0 ? 1 : std::max(one.weight, smallest_weight * mean);
-        weights += one.weight;
+        share.weight = mean <= 0 ? 1 : std::max(share.weight, min_weight_fraction * mean);
+        weights += share.weight;
     }
-    for (credit& one : credits)
+    for (weighted_entry& share : weighted)
     {
-        one.weight /= weights;
+        share.weight /= weights;
     }
-    return credits;
+    return weighted;
 }
 
 } // namespace
@@ -70,7 +71,7 @@
     {
         for (const endpoint_config& endpoint : service.endpoints)
         {
-            // Services that share a worker share its slots; where they differ, the smaller number holds.
+            // Services on the same worker share its slots; if their numbers differ, the smaller one applies.
             const auto [found, added] = slots.emplace(endpoint.worker, service.slots_per_worker);
             if (!added)
             {
@@ -81,7 +82,7 @@
     return slots;
 }
 
-void slot_ledger::reset(time_point now, const configuration& config)
+void slot_allocator::reset(time_point now, const configuration& config)
 {
     leader_since_ = now;
     longest_request_ = longest_request(config);
@@ -89,30 +90,30 @@
     targets_.clear();
     targets_version_ = 0;
     targets_entries_ = 0;
-    possibly_held_.clear();
+    possibly_held_workers_.clear();
     for (const auto& [worker, slots] : slots_by_worker(config))
     {
-        possibly_held_.insert(worker);
+        possibly_held_workers_.insert(worker);
     }
 }
 
-void slot_ledger::tick(time_point now, const configuration& config)
+void slot_allocator::tick(time_point now, const configuration& config)
 {
     longest_request_ = std::max(longest_request_, longest_request(config));
-    const duration quarantine = options_.lease + options_.drift_margin + longest_request_;
+    const duration reclaim_delay = options_.lease + options_.drift_margin + longest_request_;
     std::erase_if(entries_,
-                  [now, quarantine](const auto& one)
+                  [now, reclaim_delay](const auto& entry)
                   {
-                      return one.second.answered_at + quarantine < now ||
-                             (one.second.leaving && one.second.outstanding.empty());
+                      return entry.second.answered_at + reclaim_delay < now ||
+                             (entry.second.leaving && entry.second.outstanding.empty());
                   });
-    if (now > leader_since_ + quarantine)
+    if (now > leader_since_ + reclaim_delay)
     {
-        possibly_held_.clear();
+        possibly_held_workers_.clear();
     }
 }
 
-std::int64_t slot_ledger::outstanding_on(const std::string& worker) const
+std::int64_t slot_allocator::outstanding_slots(const std::string& worker) const
 {
     std::int64_t sum = 0;
     for (const auto& [key, entry] : entries_)
@@ -124,33 +125,35 @@
 }
 
 std::int64_t
-slot_ledger::available_on(time_point /*now*/, const std::string& worker, std::int64_t capacity) const
+slot_allocator::grantable_slots(time_point /*now*/, const std::string& worker, std::int64_t capacity) const
 {
-    if (possibly_held_.contains(worker))
+    if (possibly_held_workers_.contains(worker))
     {
-        return 0; // entries that this leader has not heard may hold all of it
+        return 0; // entries that haven't reported to this leader may hold all slots
     }
-    return std::max<std::int64_t>(0, capacity - outstanding_on(worker));
+    return std::max<std::int64_t>(0, capacity - outstanding_slots(worker));
 }
 
-void slot_ledger::share_service(const service_config& service, const std::vector<const entry_view*>& live)
+void slot_allocator::distribute_slots(const service_config& service,
+                                      const std::vector<const entry_view*>& live)
 {
-    std::vector<credit> credits = make_credits(service, live);
+    std::vector<weighted_entry> weighted = make_weighted_entries(service, live);
     for (const endpoint_config& endpoint : service.endpoints)
     {
         for (std::int64_t slot = 0; slot < service.slots_per_worker; ++slot)
         {
-            for (credit& one : credits)
+            for (weighted_entry& share : weighted)
             {
-                one.balance += one.weight;
+                share.current_weight += share.weight;
             }
-            credit& next = *std::max_element(credits.begin(),
-                                             credits.end(),
-                                             [](const credit& left, const credit& right)
-                                             {
-                                                 return left.balance < right.balance;
-                                             });
-            next.balance -= 1;
+            weighted_entry& next =
+                *std::max_element(weighted.begin(),
+                                  weighted.end(),
+                                  [](const weighted_entry& left, const weighted_entry& right)
+                                  {
+                                      return left.current_weight < right.current_weight;
+                                  });
+            next.current_weight -= 1;
             std::int64_t& target =
                 targets_[entry_key(next.entry->entry, next.entry->incarnation)][endpoint.worker];
             target += 1;
@@ -158,7 +161,7 @@
     }
 }
 
-void slot_ledger::recompute_targets(time_point now, const configuration& config)
+void slot_allocator::recompute_targets(time_point now, const configuration& config)
 {
     std::vector<const entry_view*> live;
     for (const auto& [key, entry] : entries_)
@@ -177,24 +180,25 @@
     targets_version_ = config.version;
     targets_entries_ = live.size();
     targets_at_ = now;
-    std::set<std::string> shared;
+    std::set<std::string> distributed;
     for (const auto& [name, service] : config.services)
     {
-        service_config own = service;
-        std::erase_if(own.endpoints,
-                      [&shared](const endpoint_config& endpoint)
+        service_config remaining = service;
+        std::erase_if(remaining.endpoints,
+                      [&distributed](const endpoint_config& endpoint)
                       {
-                          return shared.contains(endpoint.worker);
+                          return distributed.contains(endpoint.worker);
                       });
-        for (const endpoint_config& endpoint : own.endpoints)
+        for (const endpoint_config& endpoint : remaining.endpoints)
         {
-            shared.insert(endpoint.worker); // the first service of a worker shares its slots out for all
+            distributed.insert(endpoint.worker); // once per worker, for all services that share it
         }
-        share_service(own, live);
+        distribute_slots(remaining, live);
     }
 }
 
-entry_orders slot_ledger::receive(time_point now, const configuration& config, const entry_report& received)
+entry_orders
+slot_allocator::receive(time_point now, const configuration& config, const entry_report& received)
 {
     entry_orders orders;
     const std::string key = entry_key(received.entry, received.incarnation);
@@ -242,7 +246,7 @@
         std::int64_t granted = std::min(held, target);
         if (target > held)
         {
-            granted = held + std::min(target - held, available_on(now, worker, capacity));
+            granted = held + std::min(target - held, grantable_slots(now, worker, capacity));
         }
         if (granted > held)
         {
@@ -253,24 +257,24 @@
             orders.granted.push_back({worker, granted});
         }
         error::check_invariant(error::invariant::worker_within_capacity,
-                               granted <= held || outstanding_on(worker) <= capacity,
+                               granted <= held || outstanding_slots(worker) <= capacity,
                                "control::slot_ledger");
     }
     return orders;
 }
 
-bool slot_ledger::in_force(time_point now, std::uint64_t version) const
+bool slot_allocator::in_force(time_point now, std::uint64_t version) const
 {
     if (now < leader_since_ + options_.lease + options_.drift_margin)
     {
-        // An entry that this leader has not heard may still serve by an older version.
+        // An entry that hasn't reported to this leader may still serve under an older version.
         return false;
     }
     return std::all_of(entries_.begin(),
                        entries_.end(),
-                       [this, now, version](const auto& one)
+                       [this, now, version](const auto& entry)
                        {
-                           return !may_serve(now, one.second) || one.second.version_in_force >= version;
+                           return !may_serve(now, entry.second) || entry.second.version_in_force >= version;
                        });
 }
 
--- a/src/control/state_claims.cpp
+++ b/src/control/state_claims.cpp
@@ -1,4 +1,5 @@
-// Unsafe requests under their callers' keys: claimed before they are sent, so that a key is sent once.
+// Claims on idempotency keys: an entry claims a key before it sends the request, so that a request that must
+// not be repeated is sent at most once.
 
 #include "plumspoke/error/invariant.hpp"
 #include "state_internal.hpp"
@@ -6,7 +7,7 @@
 namespace plumspoke::control
 {
 
-std::string claim_name(const std::string& service, const std::string& key)
+std::string claim_map_key(const std::string& service, const std::string& key)
 {
     return service + '\n' + key;
 }
@@ -17,18 +18,19 @@
 namespace
 {
 
-command_answer answer_of(const claim& found, claim_state state)
+command_answer claim_answer(const claim& found, claim_state state)
 {
     command_answer answer;
     answer.id = found.id;
-    claim told = found;
-    told.state = state;
-    answer.detail = told;
+    claim reply = found;
+    reply.state = state;
+    answer.detail = reply;
     return answer;
 }
 
-/// Makes room by forgetting the oldest claim that has ended.
-bool make_room(control_state& state)
+/// Removes the oldest claims while the table is full.
+/// @return false if the oldest claim is in progress, so that no claim can be removed
+bool evict_oldest_claims(control_state& state)
 {
     while (state.claims.size() >= max_claims && !state.claim_order.empty())
     {
@@ -48,9 +50,9 @@
 
 } // namespace
 
-command_answer on(control_state& state, std::uint64_t /*index*/, const begin_claim& value)
+command_answer apply_command(control_state& state, std::uint64_t /*index*/, const begin_claim& value)
 {
-    const std::string name = claim_name(value.service, value.key);
+    const std::string name = claim_map_key(value.service, value.key);
     const auto found = state.claims.find(name);
     if (found != state.claims.end())
     {
@@ -58,32 +60,32 @@
         const bool same = found->second.digest == value.digest;
         if (same && found->second.entry == value.entry && found->second.state == claim_state::in_progress)
         {
-            return answer_of(found->second,
-                             claim_state::granted); // the asker's own claim, its answer was lost
+            return claim_answer(found->second,
+                                claim_state::granted); // the claimant asks again because the answer was lost
         }
-        return answer_of(found->second, same ? found->second.state : claim_state::mismatch);
+        return claim_answer(found->second, same ? found->second.state : claim_state::mismatch);
     }
-    claim made;
-    made.service = value.service;
-    made.key = value.key;
-    made.digest = value.digest;
-    made.entry = value.entry;
-    made.deadline_ms = value.deadline_ms;
-    if (!make_room(state))
+    claim created;
+    created.service = value.service;
+    created.key = value.key;
+    created.digest = value.digest;
+    created.entry = value.entry;
+    created.deadline_ms = value.deadline_ms;
+    if (!evict_oldest_claims(state))
     {
-        return answer_of(made, claim_state::refused);
+        return claim_answer(created, claim_state::refused);
     }
-    made.id = state.next_claim++;
-    state.claims[name] = made;
+    created.id = state.next_claim++;
+    state.claims[name] = created;
     state.claim_order.push_back(name);
     state.open_claims.insert(name);
     ++state.counters.claims_granted;
-    return answer_of(made, claim_state::granted);
+    return claim_answer(created, claim_state::granted);
 }
 
-command_answer on(control_state& state, std::uint64_t /*index*/, const finish_claim& value)
+command_answer apply_command(control_state& state, std::uint64_t /*index*/, const finish_claim& value)
 {
-    const std::string name = claim_name(value.service, value.key);
+    const std::string name = claim_map_key(value.service, value.key);
     const auto found = state.claims.find(name);
     if (found == state.claims.end() || found->second.id != value.id)
     {
@@ -91,11 +93,12 @@
     }
     if (found->second.state == claim_state::done)
     {
-        return answer_of(found->second, claim_state::done); // the first outcome stands
+        return claim_answer(found->second, claim_state::done); // the first outcome is final
     }
     if (value.state == claim_state::granted)
     {
-        // Proof that it did not run: the key may be claimed again, but only while nobody was told `unknown`.
+        // The request is known not to have run, so the key may be claimed again; but not after the claim was
+        // ended as unknown, because another claimant may have been told so.
         if (found->second.state == claim_state::in_progress)
         {
             state.claims.erase(found);
@@ -109,7 +112,7 @@
     found->second.status = value.status;
     found->second.content_type = value.content_type;
     found->second.body = value.body;
-    return answer_of(found->second, value.state);
+    return claim_answer(found->second, value.state);
 }
 
 } // namespace detail
