--- a/bench/control.cpp
+++ b/bench/control.cpp
@@ -2,9 +2,9 @@
 // in one process, each with its own data folder, over gRPC on loopback.
 
 #include "free_address.hpp"
-#include "plumspoke/control/machine.hpp"
+#include "plumspoke/control/control_state_machine.hpp"
 #include "plumspoke/control/policy.hpp"
-#include "plumspoke/control/slot_ledger.hpp"
+#include "plumspoke/control/slot_allocator.hpp"
 #include "plumspoke/logging/logging.hpp"
 #include "plumspoke/replica/grpc_transport.hpp"
 #include "plumspoke/worker/desk.hpp"
@@ -54,7 +54,7 @@
 
     void start()
     {
-        machine = std::make_unique<control::machine>();
+        machine = std::make_unique<control::control_state_machine>();
         storage_ = std::make_unique<replica::storage>(folder_);
         transport = std::make_unique<replica::grpc_transport>(address_);
         driver =
@@ -82,7 +82,7 @@
         }
     }
 
-    std::unique_ptr<control::machine> machine;
+    std::unique_ptr<control::control_state_machine> machine;
     std::unique_ptr<replica::grpc_transport> transport;
     std::unique_ptr<replica::driver> driver;
 
@@ -127,7 +127,7 @@
         {
             for (const auto& one : replicas)
             {
-                if (one->driver != nullptr && one->driver->may_act(std::chrono::steady_clock::now()))
+                if (one->driver != nullptr && one->driver->holds_lease(std::chrono::steady_clock::now()))
                 {
                     return *one;
                 }
@@ -227,7 +227,7 @@
         const replica::membership alone = {{{"c1.first", "c1", free_address(), true}}};
         bench_replica one(folder / "c1", alone.members[0].address, alone, "c1");
         one.start();
-        while (!one.driver->may_act(std::chrono::steady_clock::now()))
+        while (!one.driver->holds_lease(std::chrono::steady_clock::now()))
         {
             std::this_thread::sleep_for(milliseconds(1));
         }
@@ -256,7 +256,7 @@
         one.stop();
         const time_point began = std::chrono::steady_clock::now();
         one.start();
-        while (!one.driver->may_act(std::chrono::steady_clock::now()))
+        while (!one.driver->holds_lease(std::chrono::steady_clock::now()))
         {
             std::this_thread::sleep_for(milliseconds(1));
         }
@@ -359,8 +359,8 @@
     nlohmann::json::to_cbor(nlohmann::json(state), snapshot);
     print("bytes of the state a job, running on a worker",
           static_cast<double>(snapshot.size()) / static_cast<double>(tasks_before));
-    control::slot_ledger ledger{control::ledger_options{}};
-    ledger.reset(from_microseconds(1), control::configuration());
+    control::slot_allocator allocator{control::slot_allocator_options{}};
+    allocator.reset(from_microseconds(1), control::configuration());
     std::uint64_t sequence = 0;
     const double entry = microseconds_each(
         200,
@@ -374,7 +374,7 @@
             {
                 sent.held.push_back({"worker-" + std::to_string(w), 1});
             }
-            (void)ledger.receive(from_microseconds(5'000'000 + e * 1000), state.config, sent);
+            (void)allocator.receive(from_microseconds(5'000'000 + e * 1000), state.config, sent);
         });
     print("processor us an entry's report over 1000 workers", entry);
     print("processor us an entry's report for each worker", entry / workers);
--- a/src/replica/node_election.cpp
+++ b/src/replica/node_election.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief How a node becomes a leader, and ceases to be one.
+/// @brief Election of a node and loss of its leadership.
 
 #include "plumspoke/replica/node.hpp"
 
@@ -11,7 +11,7 @@
 namespace
 {
 
-/// @brief The next value of splitmix64 (Steele, Lea, Flood, 2014); enough to spread timeouts.
+/// @brief Returns the next value of splitmix64 (Steele, Lea, Flood, 2014); suffices to randomize timeouts.
 std::uint64_t next_random(std::uint64_t& state) noexcept
 {
     state += 0x9e3779b97f4a7c15U;
@@ -37,13 +37,13 @@
     return members_.is_voter(id_);
 }
 
-bool node::heard_leader_recently(time_point now) const noexcept
+bool node::has_recent_leader_contact(time_point now) const noexcept
 {
     if (role_ == role::leader)
     {
         return now < lease_end();
     }
-    return now < heard_leader_at_ + options_.election_timeout;
+    return now < leader_contact_at_ + options_.election_timeout;
 }
 
 bool node::log_is_up_to_date(log_index last, term_number last_term) const noexcept
@@ -56,13 +56,13 @@
     return last >= last_index();
 }
 
-bool node::wins(const std::set<member_id>& votes) const noexcept
+bool node::has_vote_quorum(const std::set<member_id>& votes) const noexcept
 {
     const auto granted = std::count_if(members_.members.begin(),
                                        members_.members.end(),
-                                       [&votes](const member& one)
+                                       [&votes](const member& current)
                                        {
-                                           return one.voter && votes.contains(one.id);
+                                           return current.voter && votes.contains(current.id);
                                        });
     return static_cast<std::size_t>(granted) > members_.voter_count() / 2;
 }
@@ -77,9 +77,9 @@
     }
     if (role_ == role::leader)
     {
-        // A former leader counts as having just heard one: its last followers may still hold its lease.
-        heard_leader_at_ = now;
-        note_leader_heard(now);
+        // A former leader counts as having just heard from one: its followers may still honor its lease.
+        leader_contact_at_ = now;
+        record_leader_contact(now);
     }
     role_ = role::follower;
     pre_voting_ = false;
@@ -91,22 +91,22 @@
 
 void node::start_pre_vote(time_point now)
 {
-    note_candidacy(now);
+    record_candidacy(now);
     role_ = role::candidate;
     pre_voting_ = true;
     leader_.clear();
     votes_ = {id_};
-    if (wins(votes_))
+    if (has_vote_quorum(votes_))
     {
         start_election(now);
         return;
     }
-    for (const member& one : members_.members)
+    for (const member& current : members_.members)
     {
-        if (one.voter && one.id != id_)
+        if (current.voter && current.id != id_)
         {
             messages_.push_back(
-                {id_, one.id, hard_.term + 1, pre_vote{last_index(), *term_at(last_index())}});
+                {id_, current.id, hard_.term + 1, pre_vote{last_index(), *term_at(last_index())}});
         }
     }
 }
@@ -120,16 +120,16 @@
     hard_changed_ = true;
     votes_ = {id_};
     reset_election_timer(now);
-    if (wins(votes_))
+    if (has_vote_quorum(votes_))
     {
         become_leader(now);
         return;
     }
-    for (const member& one : members_.members)
+    for (const member& current : members_.members)
     {
-        if (one.voter && one.id != id_)
+        if (current.voter && current.id != id_)
         {
-            send(one.id, vote{last_index(), *term_at(last_index())});
+            send(current.id, vote{last_index(), *term_at(last_index())});
         }
     }
 }
@@ -140,15 +140,15 @@
     pre_voting_ = false;
     leader_ = id_;
     leader_since_ = now;
-    note_leader_heard(now);
+    record_leader_contact(now);
     peers_.clear();
     term_start_index_ = last_index() + 1;
     append_local(log_entry{});
-    for (const member& one : members_.members)
+    for (const member& current : members_.members)
     {
-        if (one.id != id_)
+        if (current.id != id_)
         {
-            peers_[one.id].next = last_index();
+            peers_[current.id].next = last_index();
         }
     }
     next_heartbeat_ = now + options_.heartbeat_interval;
@@ -165,7 +165,7 @@
     const bool heard = !times.empty() && times[times.size() / 2] + options_.election_timeout > now;
     if (!heard)
     {
-        note_term_end(now, term_end::lease_not_renewed, 0, {});
+        record_step_down(now, step_down_reason::lease_not_renewed, 0, {});
         become_follower(now, hard_.term, member_id());
     }
 }
@@ -184,7 +184,7 @@
         return;
     }
     votes_.insert(received.from);
-    if (wins(votes_))
+    if (has_vote_quorum(votes_))
     {
         start_election(now);
     }
@@ -214,7 +214,7 @@
         return;
     }
     votes_.insert(received.from);
-    if (wins(votes_))
+    if (has_vote_quorum(votes_))
     {
         become_leader(now);
     }
--- a/src/replica/node_replication.cpp
+++ b/src/replica/node_replication.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief How entries and snapshots reach the members, and when an entry is committed.
+/// @brief Replication of entries and snapshots to the members, and advancement of the commit index.
 
 #include "plumspoke/replica/node.hpp"
 
@@ -20,17 +20,17 @@
         send(received.from, append_reply{false, last_index(), body.sent_at_us});
         return;
     }
-    PLUMSPOKE_ASSERT(role_ != role::leader); // two leaders of one term can't be
+    PLUMSPOKE_ASSERT(role_ != role::leader); // a term has at most one leader
     role_ = role::follower;
     pre_voting_ = false;
     leader_ = received.from;
-    heard_leader_at_ = now;
-    note_leader_heard(now);
+    leader_contact_at_ = now;
+    record_leader_contact(now);
     reset_election_timer(now);
 
     if (body.previous_index < base_index_)
     {
-        // What lies below the snapshot is committed, so it matches.
+        // Entries that the snapshot covers are committed, so they match.
         send(received.from, append_reply{true, commit_index_, body.sent_at_us});
         return;
     }
@@ -40,7 +40,7 @@
         log_index hint = std::min(last_index(), body.previous_index - 1);
         while (own_term.has_value() && hint > commit_index_ && term_at(hint) == own_term)
         {
-            --hint; // skip the whole conflicting term
+            --hint; // skip all entries of the conflicting term
         }
         send(received.from, append_reply{false, std::max(hint, commit_index_), body.sent_at_us});
         return;
@@ -60,9 +60,9 @@
         }
         members_changed = members_changed || entry.kind == entry_kind::membership;
         PLUMSPOKE_ASSERT(entry.index == last_index() + 1);
-        if (unsent_from_ == 0)
+        if (unpersisted_from_ == 0)
         {
-            unsent_from_ = entry.index;
+            unpersisted_from_ = entry.index;
         }
         log_.push_back(entry);
     }
@@ -75,12 +75,13 @@
     send(received.from, append_reply{true, matched, body.sent_at_us});
 }
 
-void node::note_acknowledged(time_point now, progress& peer, std::int64_t sent_at_us)
+void node::record_acknowledgement(time_point now, progress& peer, std::int64_t sent_at_us)
 {
-    peer.acknowledged_at = std::max(peer.acknowledged_at, std::min(now, from_microseconds(sent_at_us)));
-    peer.answered_at = now;
-    peer.answered = true;
-    peer.awaiting = false;
+    peer.acknowledged_sent_at =
+        std::max(peer.acknowledged_sent_at, std::min(now, from_microseconds(sent_at_us)));
+    peer.last_reply_at = now;
+    peer.has_replied = true;
+    peer.append_in_flight = false;
 }
 
 void node::on(time_point now, const message& received, const append_reply& body)
@@ -91,7 +92,7 @@
         return;
     }
     progress& peer = found->second;
-    note_acknowledged(now, peer, body.sent_at_us);
+    record_acknowledgement(now, peer, body.sent_at_us);
     if (!body.success)
     {
         peer.probing = true;
@@ -122,8 +123,8 @@
     role_ = role::follower;
     pre_voting_ = false;
     leader_ = received.from;
-    heard_leader_at_ = now;
-    note_leader_heard(now);
+    leader_contact_at_ = now;
+    record_leader_contact(now);
     reset_election_timer(now);
     if (body.state.index > commit_index_)
     {
@@ -134,10 +135,10 @@
         latest_snapshot_ = body.state;
         commit_index_ = base_index_;
         delivered_index_ = base_index_;
-        unsent_from_ = 0;
+        unpersisted_from_ = 0;
         pending_truncate_ = 0;
         pending_install_ = body.state;
-        hard_changed_ = true; // the new log file starts with term and vote
+        hard_changed_ = true; // the new log file starts with the term and vote
         adopt_membership();
     }
     send(received.from, append_reply{true, commit_index_, body.sent_at_us});
@@ -147,21 +148,21 @@
 {
     entry.index = last_index() + 1;
     entry.term = hard_.term;
-    if (unsent_from_ == 0)
+    if (unpersisted_from_ == 0)
     {
-        unsent_from_ = entry.index;
+        unpersisted_from_ = entry.index;
     }
     log_.push_back(std::move(entry));
 }
 
 void node::truncate_from(log_index index)
 {
-    PLUMSPOKE_ASSERT(index > commit_index_); // what is committed is never removed
+    PLUMSPOKE_ASSERT(index > commit_index_); // committed entries are never removed
     log_.resize(index - base_index_ - 1);
     pending_truncate_ = pending_truncate_ == 0 ? index : std::min(pending_truncate_, index);
-    if (unsent_from_ >= index)
+    if (unpersisted_from_ >= index)
     {
-        unsent_from_ = 0;
+        unpersisted_from_ = 0;
     }
 }
 
@@ -171,9 +172,9 @@
     members_index_ = base_index_;
     const auto newest = std::find_if(log_.rbegin(),
                                      log_.rend(),
-                                     [](const log_entry& one)
+                                     [](const log_entry& entry)
                                      {
-                                         return one.kind == entry_kind::membership;
+                                         return entry.kind == entry_kind::membership;
                                      });
     if (newest != log_.rend())
     {
@@ -189,11 +190,11 @@
                   {
                       return members_.find(peer.first) == nullptr;
                   });
-    for (const member& one : members_.members)
+    for (const member& current : members_.members)
     {
-        if (one.id != id_ && !peers_.contains(one.id))
+        if (current.id != id_ && !peers_.contains(current.id))
         {
-            peers_[one.id].next = last_index();
+            peers_[current.id].next = last_index();
         }
     }
 }
@@ -201,11 +202,11 @@
 void node::advance_commit()
 {
     std::vector<log_index> matches;
-    for (const member& one : members_.members)
+    for (const member& current : members_.members)
     {
-        if (one.voter)
+        if (current.voter)
         {
-            matches.push_back(match_index(one.id));
+            matches.push_back(match_index(current.id));
         }
     }
     if (matches.empty())
@@ -216,7 +217,7 @@
     const log_index candidate = matches[matches.size() / 2];
     if (candidate > commit_index_ && term_at(candidate) == hard_.term)
     {
-        commit_to(candidate); // only entries of the own term are counted: Raft, section 5.4.2
+        commit_to(candidate); // counting commits entries of the current term only: Raft, section 5.4.2
     }
 }
 
@@ -235,8 +236,8 @@
 
 void node::send_append(time_point now, const member_id& to, progress& peer)
 {
-    const bool overdue = now >= peer.awaiting_since + options_.heartbeat_interval;
-    if (peer.probing && peer.awaiting && !overdue)
+    const bool overdue = now >= peer.append_sent_at + options_.heartbeat_interval;
+    if (peer.probing && peer.append_in_flight && !overdue)
     {
         return;
     }
@@ -244,7 +245,7 @@
     const std::optional<term_number> previous_term = term_at(peer.next - 1);
     if (!previous_term.has_value())
     {
-        if (overdue || !peer.snapshot_under_way(now, base_index_, options_.snapshot_resend))
+        if (overdue || !peer.is_snapshot_in_flight(now, base_index_, options_.snapshot_resend_interval))
         {
             send_snapshot(now, to, peer);
         }
@@ -267,8 +268,8 @@
     }
     if (peer.probing)
     {
-        peer.awaiting = true;
-        peer.awaiting_since = now;
+        peer.append_in_flight = true;
+        peer.append_sent_at = now;
     }
     else
     {
@@ -280,21 +281,23 @@
 void node::send_snapshot(time_point now, const member_id& to, progress& peer)
 {
     peer.probing = true;
-    peer.awaiting = true;
-    peer.awaiting_since = now;
+    peer.append_in_flight = true;
+    peer.append_sent_at = now;
     const std::int64_t sent_at_us = to_microseconds(now);
-    const bool under_way = peer.snapshot_under_way(now, base_index_, options_.snapshot_resend);
-    if (!peer.answers(now, options_) || snapshot_awaited_ || under_way)
+    const bool in_flight = peer.is_snapshot_in_flight(now, base_index_, options_.snapshot_resend_interval);
+    if (!peer.is_responsive(now, options_) || snapshot_pending_ || in_flight)
     {
-        // A heartbeat in its place, for its acknowledgement: the lease may hang on this member. It is refused
-        // until the snapshot has arrived. A member that doesn't answer, such as a lost disk, would only take
-        // the bandwidth that others need; its first answer brings the snapshot.
+        // Sends a heartbeat instead, because the lease may depend on this member's acknowledgement; the
+        // member rejects it until the snapshot has arrived. A snapshot to an unresponsive member, such as a
+        // lost disk, would waste bandwidth that others need; it is sent after the member's first reply.
         send(to, append{base_index_, base_term_, commit_index_, sent_at_us, {}});
         return;
     }
-    peer.oldest_snapshot = peer.oldest_snapshot > peer.match ? peer.oldest_snapshot : latest_snapshot_.index;
+    peer.first_unacknowledged_snapshot = peer.first_unacknowledged_snapshot > peer.match
+                                             ? peer.first_unacknowledged_snapshot
+                                             : latest_snapshot_.index;
     peer.snapshot_sent = latest_snapshot_.index;
-    peer.snapshot_sent_at = now;
+    peer.snapshot_sent_time = now;
     send(to, install_snapshot{latest_snapshot_, sent_at_us});
 }
 
--- a/tests/src/unit-replica_full_disk.cpp
+++ b/tests/src/unit-replica_full_disk.cpp
@@ -1,10 +1,9 @@
 /// @file
-/// @brief A replica whose disk is full for a while.
+/// @brief A replica whose disk is temporarily full.
 ///
-/// Symptom: a control VM's process ended four times within 5 s, while its disk took no more bytes.
-/// Sequence: a record finds no room; the replica takes that for a broken disk and ends; it is started again,
-/// reads the whole state, and the next record finds no room. Cause: a full disk and a failed one were the
-/// same error. What found no room may be tried again: the file is as it was before.
+/// Guards against treating a full disk as a failed one. The process would end, be restarted, read the whole
+/// state and end again at the next record; a control VM's process once ended four times within 5 s. A write
+/// that fails for lack of space leaves the file unchanged and can be repeated.
 
 #include "full_disk_fixture.hpp"
 
@@ -12,40 +11,40 @@
 using namespace plumspoke::replica;
 using namespace plumspoke::replica::full_disk_test;
 
-TEST_CASE("a replica bears a full disk: it acknowledges nothing, and goes on when there is room")
+TEST_CASE("a replica with a full disk acknowledges nothing, and resumes when there is free space")
 {
-    const folder place;
+    const folder data_folder;
     std::uint64_t last_index = 0;
     {
-        storage disk(place.path, {&write_while_room, system_disk().sync});
+        storage disk(data_folder.path, {&write_until_full, system_disk().sync});
         disk_is_full = false;
         REQUIRE_FALSE(disk.initialize("a", {{{"a", "a", "a", true}}}));
         counting_machine machine;
-        no_network network;
+        null_transport network;
         driver replica(fixture::options(), disk, machine, network);
         REQUIRE_FALSE(replica.start("a"));
-        const auto acts = [&replica]
+        const auto holds_lease = [&replica]
         {
-            return replica.may_act(std::chrono::steady_clock::now());
+            return replica.holds_lease(std::chrono::steady_clock::now());
         };
-        REQUIRE(holds_within(seconds(5), acts));
+        REQUIRE(holds_within(seconds(5), holds_lease));
         CHECK_FALSE(replica.propose_and_wait("before", seconds(2)).error);
 
         disk_is_full = true;
         CHECK(replica.propose_and_wait("meanwhile", milliseconds(400)).error);
-        CHECK_FALSE(acts());
+        CHECK_FALSE(holds_lease());
         CHECK_FALSE(replica.status().failure);
 
         disk_is_full = false;
-        REQUIRE(holds_within(seconds(5), acts));
-        for (int i = 0; i < 30; ++i) // some snapshots long
+        REQUIRE(holds_within(seconds(5), holds_lease));
+        for (int i = 0; i < 30; ++i) // enough for several snapshots
         {
             CHECK_FALSE(replica.propose_and_wait("after", seconds(2)).error);
         }
         replica.stop();
         last_index = replica.status().last_index;
     }
-    storage again(place.path);
+    storage again(data_folder.path);
     restored_state restored;
     REQUIRE_FALSE(again.open(restored));
     CHECK(restored.base.index + restored.entries.size() == last_index);
