--- a/include/plumspoke/dispatch/dispatcher.hpp
+++ b/include/plumspoke/dispatch/dispatcher.hpp
@@ -509,7 +509,7 @@
     overload_controller overload_;
     std::uint64_t term_ = 0;
     time_point leading_since_{};
-    time_point decided_at_{}; // the last decision before this one
+    time_point decided_at_{}; // time of the previous decision
     std::map<fleet::worker_life, worker_view> workers_;
     // Index of `workers_` for lookups by answer, without the string comparisons of the tree.
     std::unordered_map<fleet::worker_life, worker_view*, fleet::worker_life_hash> worker_by_life_;
@@ -519,7 +519,7 @@
     std::map<std::string, std::set<fleet::worker_life>> lives_at_; // lives announced at each address
     std::map<jobs::run_name, run_view> runs_;
     actionable_runs actionable_; // the only runs that a decision visits; all others need no order
-    std::uint64_t changes_ = 0;  // of workers, as far as a placement looks at them
+    std::uint64_t changes_ = 0;  // count of changes to workers that are relevant to placement
     std::map<jobs::task_name, std::set<fleet::worker_life>> failed_on_; // where a task has failed
     std::set<jobs::task_name> copy_wanted_;
     std::size_t reserved_worker_count_ = 0; // at the last placement, for lasting tasks that lost their worker
@@ -554,7 +554,7 @@
     time_point next_wait_report_at_{};
     longest_waits longest_waits_; // since the last report
     time_point next_forget_at_{};
-    time_point next_record_at_{}; // of what was learned
+    time_point next_record_at_{}; // of the next record of learned effects
     bool capacity_changed_ = true;
     std::map<std::string, pool_headroom> headroom_by_pool_;
     time_point next_demand_update_at_{};
