--- a/src/dispatch/worker_choice.cpp
+++ b/src/dispatch/worker_choice.cpp
@@ -15,8 +15,8 @@
 // Share of a worker's processors, added to the score of a worker that runs serving tasks: tasks that don't
 // interfere are placed there, so that workers without serving tasks stay free for fillers.
 constexpr double serving_bonus = 0.5;
-// Thousandths of a core subtracted from a worker's score for each point of blame.
-constexpr double blame_cost = 8000;
+// Thousandths of a core subtracted from a worker's score for each point of its failure score.
+constexpr double failure_cost = 8000;
 constexpr double off_rack_cost = 30'000; // more than any difference in free processors
 constexpr double unproven_cost =
     16'000; // for a task that failed before, on a worker without successes or with failures
@@ -26,8 +26,8 @@
 constexpr double mixed_images_cost = 2.5;
 // Share of a worker's processors for each unit of slack that a filler would take from a serving task.
 constexpr double effect_cost = 1;
-// A worker that runs a prime suspect may crash within 50 ms, so other tasks are placed there last.
-constexpr double beside_prime_suspect_cost = 60'000;
+// A worker that runs a critical suspect may crash within 50 ms, so other tasks are placed there last.
+constexpr double beside_critical_suspect_cost = 60'000;
 constexpr auto wait_reason_interval = seconds(1); // per kind of work; one task of a queue is representative
 constexpr double max_set_aside_share = 0.34;
 
@@ -253,8 +253,8 @@
     row.filler_free_milli = free_cpu_milli(worker, true);
     row.total_milli = worker.info.room.cpu_milli;
     row.filler_milli = worker.filler_cpu_milli;
-    row.penalty =
-        blame_cost * worker.failure_score + (worker.critical_suspects > 0 ? beside_prime_suspect_cost : 0);
+    row.penalty = failure_cost * worker.failure_score +
+                  (worker.critical_suspects > 0 ? beside_critical_suspect_cost : 0);
     row.serving_runs = worker.serving_runs;
     row.colocation = &worker.colocation;
     return row;
