--- a/include/plumspoke/dispatch/dispatcher.hpp
+++ b/include/plumspoke/dispatch/dispatcher.hpp
@@ -428,7 +428,7 @@
     [[nodiscard]] bool leaves_short_room(const worker_view& of, const ready_step& what) const;
 
     // ---- held room (held_room.cpp)
-    [[nodiscard]] jobs::room room_beside_lasting(const worker_view& of) const;
+    [[nodiscard]] jobs::resources room_beside_lasting(const worker_view& of) const;
     void hold_room(time_point now, const ready_step& what, std::uint32_t waiting);
 
     // ---- harm of fillers (filler_harm.cpp)
--- a/include/plumspoke/dispatch/worker_view.hpp
+++ b/include/plumspoke/dispatch/worker_view.hpp
@@ -61,7 +61,7 @@
     jobs::run_name name;
     fleet::worker_life worker;
     run_stage stage = run_stage::proposed;
-    jobs::room needs;
+    jobs::resources needs;
     bool filler = false;
     bool lasting = false;
     bool serving = false;
@@ -147,7 +147,7 @@
     runs_digest digest;
     bool held = false;    // its room is kept for urgent tasks, as of the last placement
     bool granted = false; // the present placement has given it a task
-    jobs::room used;      // without the processors of fillers
+    jobs::resources used; // without the processors of fillers
     std::int64_t filler_cpu_milli = 0;
     std::int64_t serving_cpu_milli = 0; // reserved; what serves uses a part of it
     std::int64_t lasting_cpu_milli = 0; // reserved by lasting tasks, serving or not
@@ -193,7 +193,7 @@
 /// @brief Whether one more crash that nothing else explains would be enough to give the task up.
 [[nodiscard]] constexpr bool is_prime_suspect(const jobs::crash_evidence& of) noexcept
 {
-    return of.blamed + 1 >= jobs::crash_evidence::most_blamed;
+    return of.blamed + 1 >= jobs::crash_evidence::max_blamed;
 }
 
 /// @brief Whether its worker has told this leader that the run has begun.
--- a/include/plumspoke/fleet/announcement.hpp
+++ b/include/plumspoke/fleet/announcement.hpp
@@ -32,7 +32,7 @@
     std::string zone;
     std::vector<std::string> labels; // what tasks may require
     std::string rack;
-    jobs::room room; // all that it has, whatever runs there
+    jobs::resources room; // all that it has, whatever runs there
     worker_state state = worker_state::ready;
     std::int64_t time_left_ms = 0; // while draining: at least so long
     std::uint64_t sequence = 0;    // tells a late announcement of this life from a newer one
--- a/include/plumspoke/job_server/told_outcome.hpp
+++ b/include/plumspoke/job_server/combined_outcome.hpp
@@ -13,7 +13,7 @@
 /// @param may_be_done whether an earlier attempt got no clear answer
 /// @note A leader says `refused` of its own attempt only: what an earlier one left in the log may yet be
 ///       committed, and a caller that was told "not taken" would see its job run.
-[[nodiscard]] constexpr jobs::outcome told_outcome(jobs::outcome told, bool may_be_done) noexcept
+[[nodiscard]] constexpr jobs::outcome combined_outcome(jobs::outcome told, bool may_be_done) noexcept
 {
     const bool refused = told == jobs::outcome::refused;
     return refused && may_be_done ? jobs::outcome::undecided : told;
--- a/include/plumspoke/job_server/control_server.hpp
+++ b/include/plumspoke/job_server/control_server.hpp
@@ -8,10 +8,10 @@
 #include "plumspoke/dispatch/dispatcher.hpp"
 #include "plumspoke/fleet/announcement.hpp"
 #include "plumspoke/http/server.hpp"
-#include "plumspoke/job_server/leader_link.hpp"
-#include "plumspoke/job_server/under_way.hpp"
-#include "plumspoke/job_server/worker_caller.hpp"
-#include "plumspoke/jobs/machine.hpp"
+#include "plumspoke/job_server/in_flight_submits.hpp"
+#include "plumspoke/job_server/leader_client.hpp"
+#include "plumspoke/job_server/worker_client.hpp"
+#include "plumspoke/jobs/job_state_machine.hpp"
 #include "plumspoke/metrics/metrics.hpp"
 #include "plumspoke/metrics/thread_meter.hpp"
 #include "plumspoke/replica/grpc_transport.hpp"
@@ -39,7 +39,7 @@
     std::atomic<std::uint64_t> cancels{0};
     std::atomic<std::uint64_t> leader_changes{0};
     std::atomic<std::uint64_t> steps_without_lease{0};
-    std::atomic<std::uint64_t> steps_given_way{0}; // to heartbeats, with little left of the lease
+    std::atomic<std::uint64_t> steps_yielded{0}; // to heartbeats, with little left of the lease
 };
 
 /// @brief One control process.
@@ -73,10 +73,10 @@
 
   private:
     class service;
-    struct grpc_part;
+    struct grpc_members;
 
     // ---- the group (control_server.cpp)
-    [[nodiscard]] std::error_code found_group();
+    [[nodiscard]] std::error_code bootstrap_group();
     [[nodiscard]] bool start_grpc();
     [[nodiscard]] bool start_http();
     [[nodiscard]] bool start_metrics();
@@ -87,15 +87,15 @@
 
     // ---- the leader's loop (control_loop.cpp)
     void run_loop();
-    void work_a_stretch();
+    void run_ready_handlers();
     void schedule_step();
-    void step_when_due(time_point wanted_at);
-    void note_late(time_point wanted_at);
+    void step_or_wait(time_point wanted_at);
+    void record_lateness(time_point wanted_at);
     void step();
     [[nodiscard]] dispatch::dispatch_output decide(time_point now);
-    void follow_leadership(time_point now, const replica::replica_status& status);
-    void write_retired(time_point now, const replica::replica_status& status) const;
-    void carry_out(dispatch::dispatch_output& decided);
+    void update_leadership(time_point now, const replica::replica_status& status);
+    void log_leadership_end(time_point now, const replica::replica_status& status) const;
+    void execute(dispatch::dispatch_output& decided);
     void propose(const dispatch::planned_round& planned);
     void arm_timer();
 
@@ -124,23 +124,22 @@
     };
     [[nodiscard]] loop_totals read_totals(const replica::replica_status& status) const;
     void report_window(time_point now, const replica::replica_status& status);
-    void
-    write_window(time_point now, const loop_totals& totals, const dispatch::unconfirmed_runs& open) const;
+    void log_window(time_point now, const loop_totals& totals, const dispatch::unconfirmed_runs& open) const;
     [[nodiscard]] std::int64_t count_waiting() const;
 
     // ---- operators and workers (control_http.cpp)
-    [[nodiscard]] http::response answer(const http::request& received);
-    [[nodiscard]] http::response answer(const protocol::configure_call& call);
-    [[nodiscard]] http::response answer(const protocol::read_configuration_call& call);
-    [[nodiscard]] http::response answer(const protocol::announce_call& call);
-    [[nodiscard]] http::response answer(const protocol::goodbye_call& call);
-    [[nodiscard]] http::response answer(const protocol::bad_call& call);
+    [[nodiscard]] http::response handle(const http::request& received);
+    [[nodiscard]] http::response handle(const protocol::configure_call& call);
+    [[nodiscard]] http::response handle(const protocol::read_configuration_call& call);
+    [[nodiscard]] http::response handle(const protocol::announce_call& call);
+    [[nodiscard]] http::response handle(const protocol::goodbye_call& call);
+    [[nodiscard]] http::response handle(const protocol::bad_call& call);
     void relay_announcements();
     void relay_once(std::uint64_t leader_term);
     [[nodiscard]] bool wait_until_relayed(const fleet::worker_life& life);
     void deliver(const std::vector<fleet::announcement>& changed);
     /// @return those that are not known here
-    [[nodiscard]] std::vector<fleet::worker_life> note_alive(const std::vector<fleet::worker_life>& lives);
+    [[nodiscard]] std::vector<fleet::worker_life> refresh_alive(const std::vector<fleet::worker_life>& lives);
 
     // ---- what the leader answers (control_service.cpp)
     [[nodiscard]] bool acting() const;
@@ -151,22 +150,23 @@
     [[nodiscard]] std::optional<std::string> read_configuration() const;
 
     /// @param held released once the record can't be committed any more, or has been
-    [[nodiscard]] replica::proposal_result commit(const jobs::command& value,
-                                                  duration limit,
-                                                  std::shared_ptr<const under_way::entry> held = nullptr);
+    [[nodiscard]] replica::proposal_result
+    commit(const jobs::command& value,
+           duration limit,
+           std::shared_ptr<const in_flight_submits::entry> held = nullptr);
 
-    [[nodiscard]] http::response answer_metrics() const;
+    [[nodiscard]] http::response metrics_response() const;
     void add_silent_lines(std::vector<metrics::counter_line>& to) const;
     void add_connection_lines(std::vector<metrics::counter_line>& to) const;
 
     settings::job_settings settings_;
     const protocol::control_protocol& operators_;
     const protocol::worker_protocol& workers_;
-    jobs::machine machine_;
+    jobs::job_state_machine state_machine_;
     std::unique_ptr<replica::storage> storage_;
     std::unique_ptr<replica::grpc_transport> transport_;
     std::unique_ptr<replica::driver> driver_;
-    leader_link link_;
+    leader_client leader_client_;
     std::unique_ptr<http::server> http_;
     std::unique_ptr<http::server> metrics_http_;
 
@@ -178,14 +178,14 @@
 
     boost::asio::io_context context_;
     boost::asio::steady_timer timer_{context_};
-    std::unique_ptr<worker_caller> caller_;
-    boost::asio::steady_timer rest_timer_{context_}; // between two decisions
-    dispatch::dispatcher dispatcher_;                // on the loop's thread only, as is its pace
+    std::unique_ptr<worker_client> worker_client_;
+    boost::asio::steady_timer pacing_timer_{context_}; // between two decisions
+    dispatch::dispatcher dispatcher_;                  // on the loop's thread only, as is its pace
     dispatch::decision_pace pace_;
     std::atomic<bool> step_scheduled_{false};
-    under_way submits_;
-    std::atomic<bool> refuses_jobs_{false}; // the leader is behind: as of the last decision
-    time_point next_expiry_{};              // of unused connections to workers
+    in_flight_submits submits_;
+    std::atomic<bool> rejects_submits_{false}; // the leader is behind: as of the last decision
+    time_point next_expiry_{};                 // of unused connections to workers
     loop_window window_;
     metrics::thread_meter meter_;
     mutable std::mutex counts_mutex_;
@@ -207,7 +207,7 @@
     std::thread loop_thread_;
     std::thread membership_thread_;
     std::thread relay_thread_;
-    std::unique_ptr<grpc_part> grpc_;
+    std::unique_ptr<grpc_members> grpc_;
     std::uint64_t accepts_failed_ = 0; // before the gRPC server began to listen
 };
 
--- a/include/plumspoke/job_server/entry_server.hpp
+++ b/include/plumspoke/job_server/entry_server.hpp
@@ -5,7 +5,7 @@
 ///        state: queues, jobs and the configuration are the leader's, so an entry is never out of date.
 
 #include "plumspoke/http/server.hpp"
-#include "plumspoke/job_server/leader_link.hpp"
+#include "plumspoke/job_server/leader_client.hpp"
 #include "plumspoke/metrics/metrics.hpp"
 #include "plumspoke/protocol/protocol.hpp"
 #include "plumspoke/settings/job_settings.hpp"
@@ -50,30 +50,30 @@
   private:
     struct job_answer;
 
-    [[nodiscard]] http::response answer(const http::request& received);
+    [[nodiscard]] http::response handle(const http::request& received);
     [[nodiscard]] protocol::caller_answer
-    carry(const protocol::caller_request& asked, const protocol::submit_call& call, std::size_t body_bytes);
+    forward(const protocol::caller_request& asked, const protocol::submit_call& call, std::size_t body_bytes);
     [[nodiscard]] protocol::caller_answer
-    carry(const protocol::caller_request& asked, const protocol::read_call& call, std::size_t body_bytes);
+    forward(const protocol::caller_request& asked, const protocol::read_call& call, std::size_t body_bytes);
     [[nodiscard]] protocol::caller_answer
-    carry(const protocol::caller_request& asked, const protocol::cancel_call& call, std::size_t body_bytes);
+    forward(const protocol::caller_request& asked, const protocol::cancel_call& call, std::size_t body_bytes);
     [[nodiscard]] protocol::caller_answer
-    ask_leader(const protocol::caller_request& asked,
-               bool changes_something,
-               const std::function<job_answer(control_channel&, grpc::ClientContext&, duration)>& ask);
+    call_leader(const protocol::caller_request& asked,
+                bool changes_something,
+                const std::function<job_answer(control_channel&, grpc::ClientContext&, duration)>& ask);
     [[nodiscard]] bool ready() const;
-    [[nodiscard]] http::response answer_metrics() const;
+    [[nodiscard]] http::response metrics_response() const;
     [[nodiscard]] time_point deadline_of(const protocol::caller_request& asked) const;
 
     settings::job_settings settings_;
     const protocol::caller_protocol& callers_;
-    leader_link link_;
+    leader_client leader_client_;
     std::unique_ptr<http::server> http_;
     std::unique_ptr<http::server> readiness_http_;
     std::unique_ptr<http::server> metrics_http_;
     entry_counts counts_;
     metrics::latency_histogram answer_times_;
-    time_point answer_by_{}; // while draining; written before draining_ is set
+    time_point answer_deadline_{}; // while draining; written before draining_ is set
     std::atomic<bool> draining_{false};
     std::atomic<bool> stopped_{false};
 };
--- a/include/plumspoke/job_server/under_way.hpp
+++ b/include/plumspoke/job_server/in_flight_submits.hpp
@@ -14,14 +14,14 @@
 /// @brief Ids of jobs whose record has been handed to the log and has not come back.
 /// @note A caller whose first try got no answer asks again, maybe by another entry. "Not taken" may be said
 ///       only where no earlier try of the same id can still be committed.
-class under_way
+class in_flight_submits
 {
   public:
     /// @brief Holds an id for as long as its record is on its way.
     class entry
     {
       public:
-        entry(under_way& owner, std::string id) : owner_(owner), id_(std::move(id))
+        entry(in_flight_submits& owner, std::string id) : owner_(owner), id_(std::move(id))
         {
             const std::lock_guard lock(owner_.mutex_);
             owner_.ids_.insert(id_);
@@ -35,14 +35,14 @@
         }
 
         /// @brief Whether another try of the same id is on its way too.
-        [[nodiscard]] bool has_other() const
+        [[nodiscard]] bool has_duplicate() const
         {
             const std::lock_guard lock(owner_.mutex_);
             return owner_.ids_.count(id_) > 1;
         }
 
       private:
-        under_way& owner_;
+        in_flight_submits& owner_;
         std::string id_;
     };
 
--- a/include/plumspoke/job_server/leader_wait.hpp
+++ b/include/plumspoke/job_server/leader_backoff.hpp
@@ -27,7 +27,7 @@
 
     /// @brief Only as long as waiting is likely to be worth it, for callers who can come back.
     /// @param threads_in_use share of the threads that serve callers
-    [[nodiscard]] static leader_timeout of_caller(double threads_in_use) noexcept
+    [[nodiscard]] static leader_timeout for_caller(double threads_in_use) noexcept
     {
         leader_timeout out;
         out.bounded_ = true;
@@ -61,7 +61,7 @@
 
 /// @brief Pauses between searches for a leader: 100 ms at first, then up to 400 ms, and spread, so that
 ///        hundreds of searchers don't come at once (exponential backoff with jitter).
-class search_pace
+class search_backoff
 {
   public:
     /// @param random from 0 to 1
@@ -88,11 +88,11 @@
 /// @brief How often the connection to one address may be replaced. One that has carried answers and is silent
 ///        now is replaced at once; a fresh one that doesn't answer either says that its VM is slow or away,
 ///        and that another connection would only add to its load.
-class channel_pace
+class reconnect_backoff
 {
   public:
     /// @param answered whether the present connection ever carried an answer
-    [[nodiscard]] bool may_replace(time_point now, bool answered) noexcept
+    [[nodiscard]] bool may_reconnect(time_point now, bool answered) noexcept
     {
         if (answered)
         {
@@ -118,7 +118,7 @@
 /// @brief When a caller that was refused may come back: after two elections on average, each at its own time
 ///        within two seconds, so that those who were refused together don't return together.
 /// @param name of the call, such as its path: the same call always gets the same time
-[[nodiscard]] constexpr std::uint32_t spread_return_ms(std::string_view name) noexcept
+[[nodiscard]] constexpr std::uint32_t jittered_return_ms(std::string_view name) noexcept
 {
     constexpr std::uint32_t earliest_ms = 500;
     constexpr std::uint32_t spread_ms = 2000;
--- a/include/plumspoke/job_server/certified_read.hpp
+++ b/include/plumspoke/job_server/linearizable_read.hpp
@@ -17,7 +17,7 @@
 ///       before the read alone says nothing of what was read.
 /// @note Both looks have to find the same term: between two terms of one process another one may have led.
 template <typename Check, typename Read>
-[[nodiscard]] bool certified_read(const Check& leads, const Read& read)
+[[nodiscard]] bool linearizable_read(const Check& leads, const Read& read)
 {
     const std::optional<std::uint64_t> before = leads();
     if (!before.has_value())
--- a/include/plumspoke/job_server/worker_caller.hpp
+++ b/include/plumspoke/job_server/worker_client.hpp
@@ -32,19 +32,19 @@
 /// An address, and an id, may be another life's by the time a connection is made. So each connection to a
 /// life that tells its time of birth asks for it first: no order reaches a life that it isn't meant for.
 /// @note All calls and callbacks are on the io_context's one thread.
-class worker_caller
+class worker_client
 {
   public:
-    /// @param most_connections held at once; 0: any number. Above it what was idle longest is closed, and
+    /// @param max_connections held at once; 0: any number. Above it what was idle longest is closed, and
     /// where
     ///        none is idle a call counts as unanswered at once
-    worker_caller(boost::asio::io_context& context,
+    worker_client(boost::asio::io_context& context,
                   const protocol::worker_protocol& protocol,
                   answer_handler handle,
-                  std::size_t most_connections = 0);
-    worker_caller(const worker_caller&) = delete;
-    worker_caller& operator=(const worker_caller&) = delete;
-    ~worker_caller();
+                  std::size_t max_connections = 0);
+    worker_client(const worker_client&) = delete;
+    worker_client& operator=(const worker_client&) = delete;
+    ~worker_client();
 
     void send(dispatch::order what);
 
@@ -80,21 +80,21 @@
         std::unordered_map<fleet::worker_life, std::shared_ptr<connection>, fleet::worker_life_hash>;
     [[nodiscard]] std::shared_ptr<connection> find_or_open(connections_by_life& among,
                                                            const dispatch::recipient& to);
-    [[nodiscard]] bool make_room();
-    void answer_unsent(dispatch::order what);
+    [[nodiscard]] bool ensure_capacity();
+    void fail_unsent(dispatch::order what);
     void expire_idle(time_point before);
     void count_connections() noexcept;
 
     boost::asio::io_context& context_;
     const protocol::worker_protocol& protocol_;
     answer_handler handle_;
-    std::size_t most_connections_;
+    std::size_t max_connections_;
     silent_calls silent_;
     std::atomic<std::uint64_t> without_connection_{0};
     std::atomic<std::size_t> open_connections_{0};
     std::uint64_t resets_ = 0;
-    connections_by_life polls_;
-    connections_by_life orders_;
+    connections_by_life poll_connections_;
+    connections_by_life order_connections_;
 };
 
 } // namespace plumspoke::job_server
--- a/include/plumspoke/jobs/codec.hpp
+++ b/include/plumspoke/jobs/codec.hpp
@@ -15,8 +15,8 @@
 [[nodiscard]] configuration from_wire(const wire::Configuration& value);
 [[nodiscard]] wire::Queue to_wire(const queue& value);
 [[nodiscard]] queue from_wire(const wire::Queue& value);
-[[nodiscard]] wire::Room to_wire(const room& value);
-[[nodiscard]] room from_wire(const wire::Room& value);
+[[nodiscard]] wire::Room to_wire(const resources& value);
+[[nodiscard]] resources from_wire(const wire::Room& value);
 
 /// @brief A command as the log records it.
 [[nodiscard]] std::string encode(const command& value);
@@ -24,7 +24,7 @@
 /// @return the command, or nothing where it can't be read
 [[nodiscard]] std::optional<command> decode(std::string_view bytes);
 
-[[nodiscard]] std::string encode_answer(const answer& value);
-[[nodiscard]] answer decode_answer(std::string_view bytes);
+[[nodiscard]] std::string encode_answer(const command_answer& value);
+[[nodiscard]] command_answer decode_answer(std::string_view bytes);
 
 } // namespace plumspoke::jobs
--- a/include/plumspoke/jobs/crash_evidence.hpp
+++ b/include/plumspoke/jobs/crash_evidence.hpp
@@ -28,16 +28,16 @@
 /// crash, so five crashes are the end whatever explains them; three that nothing else explains are enough.
 struct crash_evidence
 {
-    static constexpr std::uint32_t most_blamed = 3;
-    static constexpr std::uint32_t most_crashes = 5;
+    static constexpr std::uint32_t max_blamed = 3;
+    static constexpr std::uint32_t max_crashes = 5;
 
     std::uint32_t crashes = 0; // workers that crashed, or vanished, while they had a run of it
     std::uint32_t blamed = 0;  // of these, crashes that nothing else explains
 
     /// @brief Whether the task is given up, and its job has failed.
-    [[nodiscard]] constexpr bool suffices() const noexcept
+    [[nodiscard]] constexpr bool exceeds_limit() const noexcept
     {
-        return blamed >= most_blamed || crashes >= most_crashes;
+        return blamed >= max_blamed || crashes >= max_crashes;
     }
 
     constexpr void note(crash_sign sign) noexcept
@@ -58,7 +58,7 @@
 /// is.
 /// @param beside of all that the crashed worker had begun
 [[nodiscard]] constexpr std::optional<std::uint32_t>
-find_blamed(std::span<const crash_evidence> beside) noexcept
+max_prior_blame(std::span<const crash_evidence> beside) noexcept
 {
     std::uint32_t most = 0;
     for (const crash_evidence& one : beside)
--- a/include/plumspoke/jobs/machine.hpp
+++ b/include/plumspoke/jobs/job_state_machine.hpp
@@ -13,7 +13,7 @@
 {
 
 /// @brief Applies commands; other threads read under the lock.
-class machine final : public replica::state_machine
+class job_state_machine final : public replica::state_machine
 {
   public:
     std::string apply(replica::log_index index, std::string_view command) override;
@@ -37,8 +37,8 @@
     }
 
   private:
-    [[nodiscard]] std::string apply_held(const std::optional<command>& value);
-    void restore_held(std::string_view saved);
+    [[nodiscard]] std::string apply_locked(const std::optional<command>& value);
+    void restore_locked(std::string_view saved);
 
     mutable std::timed_mutex mutex_;
     store store_;
--- a/include/plumspoke/jobs/model.hpp
+++ b/include/plumspoke/jobs/model.hpp
@@ -20,23 +20,23 @@
 {
 
 /// @brief What a task needs, or what a worker has.
-struct room
+struct resources
 {
     std::int64_t cpu_milli = 0; // thousandths of a core
     std::int64_t memory_mb = 0;
     std::int64_t accelerators = 0;
 
-    room& operator+=(const room& other) noexcept;
-    room& operator-=(const room& other) noexcept;
-    [[nodiscard]] bool fits_into(const room& other) const noexcept;
-    bool operator==(const room&) const = default;
+    resources& operator+=(const resources& other) noexcept;
+    resources& operator-=(const resources& other) noexcept;
+    [[nodiscard]] bool fits_into(const resources& other) const noexcept;
+    bool operator==(const resources&) const = default;
 };
 
 /// @brief Equal tasks that wait for the same earlier steps.
 struct step_spec
 {
     std::uint32_t task_count = 1;
-    room needs;                    // of each task
+    resources needs;               // of each task
     std::uint32_t estimate_ms = 0; // the submitter's guess, often far off
     std::vector<std::uint32_t> after;
     bool saves_progress = false;
@@ -69,7 +69,7 @@
 
 /// @brief Why a job's description can't be run, or nothing.
 /// @return a short sentence that names the step
-[[nodiscard]] std::optional<std::string> find_fault(const job_spec& spec);
+[[nodiscard]] std::optional<std::string> find_spec_error(const job_spec& spec);
 
 /// @brief A queue as the configuration states it.
 struct queue
@@ -238,7 +238,7 @@
 struct job
 {
     job_id id;
-    queue taken_from; // as it stood when the job was accepted
+    queue source_queue; // as it stood when the job was accepted
     job_spec spec;
     job_phase phase = job_phase::queued;
     bool granted = false; // a run has been recorded once; its order may have reached nobody
@@ -251,7 +251,7 @@
 
     /// @brief Whether all steps before this one are done.
     [[nodiscard]] bool is_ready(const occurrence& at, std::uint32_t step) const noexcept;
-    [[nodiscard]] bool lasts() const noexcept;
+    [[nodiscard]] bool has_lasting_step() const noexcept;
     [[nodiscard]] std::uint32_t occurrence_count() const noexcept
     {
         return spec.repeat_count == 0 ? 1 : spec.repeat_count;
--- a/include/plumspoke/jobs/store.hpp
+++ b/include/plumspoke/jobs/store.hpp
@@ -24,7 +24,7 @@
 struct submit
 {
     job_id id;
-    queue taken_from;
+    queue source_queue;
     job_spec spec;
     std::int64_t at_ms = 0;
 };
@@ -97,7 +97,7 @@
 };
 
 /// @brief What a command came to.
-struct answer
+struct command_answer
 {
     outcome result = outcome::accepted;
     std::vector<bool> starts_accepted; // in the order of round::starts
@@ -109,7 +109,7 @@
   public:
     /// @name modifiers
     /// @{
-    answer apply(const command& value);
+    command_answer apply(const command& value);
     /// @}
 
     /// @name access
@@ -131,9 +131,9 @@
     }
 
     /// @brief Ended jobs with runs that are not known to be over.
-    [[nodiscard]] const std::set<job_id>& leftover() const noexcept
+    [[nodiscard]] const std::set<job_id>& ended_with_runs() const noexcept
     {
-        return leftover_;
+        return ended_with_runs_;
     }
 
     [[nodiscard]] const task* find(const task_name& name) const noexcept;
@@ -148,7 +148,7 @@
         return early_cancels_;
     }
 
-    /// @brief What leaders have learned of images, at most `most_learned` pairs.
+    /// @brief What leaders have learned of images, at most `max_learned_effects` pairs.
     [[nodiscard]] const std::map<image_pair, learned_effect>& learned() const noexcept
     {
         return learned_;
@@ -170,26 +170,26 @@
     /// @}
 
   private:
-    answer on(const configure& value);
-    answer on(const submit& value);
-    answer on(const cancel& value);
-    answer on(const round& value);
+    command_answer apply_command(const configure& value);
+    command_answer apply_command(const submit& value);
+    command_answer apply_command(const cancel& value);
+    command_answer apply_command(const round& value);
     void end_run(const run_ended& ended, std::int64_t at_ms);
     [[nodiscard]] bool start_run(const run_started& started);
-    static void note_begun(job& of);
+    static void mark_begun(job& of);
     void start_occurrence(job& of, std::uint32_t number);
     static void end_task_run(job& of, occurrence& at, task& ending, const run_ended& ended);
-    static void note_done(job& of, occurrence& at, const run_ended& ended);
-    [[nodiscard]] static bool is_spent(const job& of, const occurrence& at, const task_name& name);
-    void learn(const learned_effect& value);
+    static void mark_done(job& of, occurrence& at, const run_ended& ended);
+    [[nodiscard]] static bool fails_job(const job& of, const occurrence& at, const task_name& name);
+    void record_effect(const learned_effect& value);
     void finish(job& of, job_phase phase, std::int64_t at_ms);
-    void note_leftover(job& of);
+    void update_ended_with_runs(job& of);
     [[nodiscard]] job* find_mutable(const job_id& id) noexcept;
 
     configuration configuration_;
     std::map<job_id, job> jobs_;
     std::map<std::uint64_t, job*> live_;
-    std::set<job_id> leftover_;
+    std::set<job_id> ended_with_runs_;
     early_cancels early_cancels_;
     std::map<image_pair, learned_effect> learned_;
     std::uint64_t next_order_ = 1;
--- a/src/control/state_jobs.cpp
+++ b/src/control/state_jobs.cpp
@@ -226,7 +226,7 @@
         note_failed_on(lost, lost.live->worker);
     }
     interrupt(state, lost, "lost: " + reason);
-    if (!lost.finished() && lost.evidence.suffices())
+    if (!lost.finished() && lost.evidence.exceeds_limit())
     {
         ++state.counters.jobs_failed;
         finish(state,
@@ -263,7 +263,7 @@
             evidence.push_back(state.jobs.at(id).evidence);
         }
     }
-    const std::optional<std::uint32_t> blamed_before = jobs::find_blamed(evidence);
+    const std::optional<std::uint32_t> blamed_before = jobs::max_prior_blame(evidence);
     for (const std::string& id : held)
     {
         job& lost = state.jobs.at(id);
--- a/src/dispatch/answers.cpp
+++ b/src/dispatch/answers.cpp
@@ -547,7 +547,7 @@
     pending_ends_.push_back({of.name, how, saved, told});
     jobs::crash_evidence evidence = of.evidence;
     evidence.note(told);
-    if (evidence.suffices())
+    if (evidence.exceeds_limit())
     {
         ++counts_.tasks_given_up;
         events_.push_back(task_given_up_event(of, evidence));
--- a/src/dispatch/bookkeeping.cpp
+++ b/src/dispatch/bookkeeping.cpp
@@ -99,7 +99,7 @@
 void dispatcher::add_run(run_view added)
 {
     worker_view& on = workers_.at(added.worker);
-    jobs::room counted = added.needs;
+    jobs::resources counted = added.needs;
     if (added.filler)
     {
         on.filler_cpu_milli += counted.cpu_milli;
@@ -173,7 +173,7 @@
     const run_view& ended = found->second;
     if (worker_view* on = find_worker(ended.worker); on != nullptr)
     {
-        jobs::room counted = ended.needs;
+        jobs::resources counted = ended.needs;
         if (ended.filler)
         {
             on->filler_cpu_milli -= counted.cpu_milli;
--- a/src/dispatch/crashes.cpp
+++ b/src/dispatch/crashes.cpp
@@ -166,7 +166,7 @@
     const bool widespread = is_widespread(now);
     const bool other_cause = widespread || recent_crashes_.had_one(now, of.info.address);
     const std::optional<std::uint32_t> blamed_before =
-        other_cause ? std::nullopt : jobs::find_blamed(evidence_of(of.runs));
+        other_cause ? std::nullopt : jobs::max_prior_blame(evidence_of(of.runs));
     for (run_view& run : of.runs)
     {
         if (run.stage == run_stage::proposed)
--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -45,7 +45,7 @@
     interference_.take_over(state.learned());
     for (const auto& [id, job] : state.all())
     {
-        if (jobs::is_final(job.phase) && !state.leftover().contains(id))
+        if (jobs::is_final(job.phase) && !state.ended_with_runs().contains(id))
         {
             continue;
         }
@@ -237,7 +237,7 @@
 
 void dispatcher::tend_ended_jobs(const jobs::store& state)
 {
-    for (const jobs::job_id& id : state.leftover())
+    for (const jobs::job_id& id : state.ended_with_runs())
     {
         const auto first = runs_.lower_bound({{id, 0, 0, 0}, 0});
         for (auto at = first; at != runs_.end() && at->first.task.job == id; ++at)
@@ -250,7 +250,7 @@
 
 void dispatcher::time_cancels(std::int64_t day_ms, const jobs::store& state, dispatch_output& out)
 {
-    for (const jobs::job_id& id : state.leftover())
+    for (const jobs::job_id& id : state.ended_with_runs())
     {
         const jobs::job* job = state.find(id);
         if (job != nullptr && job->phase == jobs::job_phase::cancelled)
@@ -261,7 +261,7 @@
     std::erase_if(cancelled_at_ms_,
                   [&](const auto& entry)
                   {
-                      const bool over = !state.leftover().contains(entry.first);
+                      const bool over = !state.ended_with_runs().contains(entry.first);
                       if (over)
                       {
                           out.cancels_stopped_ms.push_back(day_ms - entry.second);
--- a/src/dispatch/held_room.cpp
+++ b/src/dispatch/held_room.cpp
@@ -16,9 +16,9 @@
 
 } // namespace
 
-jobs::room dispatcher::room_beside_lasting(const worker_view& of) const
+jobs::resources dispatcher::room_beside_lasting(const worker_view& of) const
 {
-    jobs::room left = of.info.room;
+    jobs::resources left = of.info.room;
     for (const run_view& run : of.runs)
     {
         if (run.lasting)
--- a/src/dispatch/held_watch.cpp
+++ b/src/dispatch/held_watch.cpp
@@ -104,7 +104,7 @@
     {
         const auto at = runs_.lower_bound({{id, 0, 0, 0}, 0});
         const bool followed = at != runs_.end() && at->first.task.job == id;
-        if (day_ms < cancelled_at_ms + overdue_cancel_ms || !state.leftover().contains(id))
+        if (day_ms < cancelled_at_ms + overdue_cancel_ms || !state.ended_with_runs().contains(id))
         {
             continue;
         }
--- a/src/dispatch/kept_room.cpp
+++ b/src/dispatch/kept_room.cpp
@@ -40,7 +40,7 @@
                                                });
             if (!what.spec->lasting && !what.spec->filler)
             {
-                demands[what.job->taken_from.service].push_back(
+                demands[what.job->source_queue.service].push_back(
                     {what.spec->needs.cpu_milli, static_cast<std::uint32_t>(waiting)});
             }
         }
--- a/src/dispatch/placement.cpp
+++ b/src/dispatch/placement.cpp
@@ -125,7 +125,7 @@
         if (what.kind() == work_kind::brief && what.worth != worth_class::hopeless)
         {
             short_tasks += what.count_waiting();
-            allowed_ms = std::min<double>(allowed_ms, what.job->taken_from.objective_extra_ms);
+            allowed_ms = std::min<double>(allowed_ms, what.job->source_queue.objective_extra_ms);
         }
     }
     const double overhead_ms = stage_delays_.overhead_ms(work_kind::brief);
--- a/src/dispatch/ready_steps.cpp
+++ b/src/dispatch/ready_steps.cpp
@@ -31,7 +31,7 @@
 double dispatcher::predict_step_ms(const jobs::job& of, std::uint32_t step) const
 {
     const std::uint32_t estimate_ms = of.spec.steps[step].estimate_ms;
-    return is_on(mechanism::predicted_lateness) ? task_times_.predict_ms(of.taken_from.name, estimate_ms)
+    return is_on(mechanism::predicted_lateness) ? task_times_.predict_ms(of.source_queue.name, estimate_ms)
                                                 : estimate_ms;
 }
 
@@ -59,8 +59,8 @@
     const std::int64_t since = job.spec.repeat_count == 0
                                    ? job.accepted_at_ms
                                    : job.spec.first_due_ms + of.at->number * job.spec.interval_ms;
-    const auto objective_ms = static_cast<std::int64_t>(job.taken_from.objective_factor * chain.whole_ms) +
-                              job.taken_from.objective_extra_ms;
+    const auto objective_ms = static_cast<std::int64_t>(job.source_queue.objective_factor * chain.whole_ms) +
+                              job.source_queue.objective_extra_ms;
     const auto left_ms = predicts ? static_cast<std::int64_t>(chain.left_ms) : 0;
     of.deadline_ms = since + objective_ms - left_ms;
     const std::int64_t age_ms = day_ms - since + left_ms;
@@ -116,9 +116,10 @@
         ready.end(),
         [](const ready_step& left, const ready_step& right)
         {
-            return std::tuple(left.job->taken_from.priority, !left.goes_first, left.worth, left.deadline_ms) <
+            return std::tuple(
+                       left.job->source_queue.priority, !left.goes_first, left.worth, left.deadline_ms) <
                    std::tuple(
-                       right.job->taken_from.priority, !right.goes_first, right.worth, right.deadline_ms);
+                       right.job->source_queue.priority, !right.goes_first, right.worth, right.deadline_ms);
         });
     return ready;
 }
--- a/src/dispatch/rounds.cpp
+++ b/src/dispatch/rounds.cpp
@@ -128,7 +128,7 @@
     for (const auto& [id, job] : state.all())
     {
         const bool old = jobs::is_final(job.phase) && job.ended_at_ms + options_.keep_ended_ms < day_ms;
-        if (old && !state.leftover().contains(id) && into.forgotten.size() < max_forgotten_per_round)
+        if (old && !state.ended_with_runs().contains(id) && into.forgotten.size() < max_forgotten_per_round)
         {
             into.forgotten.push_back(id);
         }
--- a/src/dispatch/worker_choice.cpp
+++ b/src/dispatch/worker_choice.cpp
@@ -112,7 +112,7 @@
 dispatcher::may_take(time_point now, worker_view& of, const ready_step& what, start_kind how) const
 {
     const jobs::step_spec& spec = *what.spec;
-    if (of.info.service != what.job->taken_from.service)
+    if (of.info.service != what.job->source_queue.service)
     {
         return fitness::other_pool;
     }
@@ -134,9 +134,9 @@
     {
         return fitness::held;
     }
-    jobs::room left = of.info.room;
+    jobs::resources left = of.info.room;
     left -= of.used;
-    jobs::room needs = spec.needs;
+    jobs::resources needs = spec.needs;
     if (spec.filler)
     {
         if (spare_for_fillers(of) < needs.cpu_milli)
--- a/src/dispatch/worker_view.cpp
+++ b/src/dispatch/worker_view.cpp
@@ -18,7 +18,7 @@
     out.serving = spec.lasting && spec.tail_target_ms > 0;
     out.tail_target_ms = spec.tail_target_ms;
     out.gang = spec.gang;
-    out.queue = job.taken_from.name;
+    out.queue = job.source_queue.name;
     out.estimate_ms = spec.estimate_ms;
     out.step_tasks = spec.task_count;
     out.image = spec.image;
--- a/src/job_server/control_channel.hpp
+++ b/src/job_server/control_channel.hpp
@@ -51,6 +51,6 @@
 };
 
 /// @brief Sets the time limit of one call.
-void set_limit(grpc::ClientContext& context, std::chrono::microseconds limit);
+void set_timeout(grpc::ClientContext& context, std::chrono::microseconds limit);
 
 } // namespace plumspoke::job_server
--- a/src/job_server/control_http.cpp
+++ b/src/job_server/control_http.cpp
@@ -2,8 +2,8 @@
 /// @brief What operators and workers ask over HTTP, at any control VM.
 
 #include "control_service.hpp"
-#include "listener_watch.hpp"
-#include "plumspoke/job_server/certified_read.hpp"
+#include "grpc_log.hpp"
+#include "plumspoke/job_server/linearizable_read.hpp"
 #include "plumspoke/jobs/codec.hpp"
 #include "plumspoke/logging/event.hpp"
 
@@ -15,12 +15,12 @@
 
 constexpr const char* part = "control";
 // Operators and workers go on to another control VM after a second.
-constexpr auto answer_limit = milliseconds(800);
+constexpr auto answer_timeout = milliseconds(800);
 constexpr auto relay_interval = milliseconds(400); // tells the leader who is alive
-constexpr auto relay_limit = milliseconds(600);
-constexpr auto registry_silence = seconds(10); // nine missed announcements
+constexpr auto relay_timeout = milliseconds(600);
+constexpr auto registry_expiry = seconds(10); // nine missed announcements
 
-http::response plain(int status, std::string text = {})
+http::response json_response(int status, std::string text = {})
 {
     http::response out;
     out.status = status;
@@ -30,81 +30,81 @@
 }
 
 /// @brief Turns a gRPC call into how it ended, as far as the leader link needs it.
-call_end end_of(const grpc::Status& status, bool acting)
+call_result to_call_result(const grpc::Status& status, bool acting)
 {
     if (!status.ok())
     {
-        return call_end::unknown;
+        return call_result::unknown;
     }
-    return acting ? call_end::answered : call_end::not_done;
+    return acting ? call_result::answered : call_result::not_executed;
 }
 
 } // namespace
 
-http::response control_server::answer(const http::request& received)
+http::response control_server::handle(const http::request& received)
 {
     const protocol::control_call call = operators_.read(received);
     return std::visit(
         [this](const auto& one)
         {
-            return answer(one);
+            return handle(one);
         },
         call);
 }
 
-http::response control_server::answer(const protocol::bad_call& call)
+http::response control_server::handle(const protocol::bad_call& call)
 {
     ++counts_.calls_invalid;
     logging::write(logging::event(part, "call_refused", call.message).with("status", call.status));
-    return plain(call.status, nlohmann::json{{"error", call.message}}.dump());
+    return json_response(call.status, nlohmann::json{{"error", call.message}}.dump());
 }
 
 // ---- configuration -----------------------------------------------------------------------------
 
-http::response control_server::answer(const protocol::configure_call& call)
+http::response control_server::handle(const protocol::configure_call& call)
 {
     ++counts_.configurations;
     if (acting())
     {
-        const jobs::outcome result = configure(call.value, answer_limit);
+        const jobs::outcome result = configure(call.value, answer_timeout);
         if (result == jobs::outcome::accepted || result == jobs::outcome::known)
         {
-            return plain(200, "{}");
+            return json_response(200, "{}");
         }
     }
     bool durable = false;
-    const call_end end = link_.call(std::chrono::steady_clock::now() + answer_limit,
-                                    [&](control_channel& to, duration limit)
-                                    {
-                                        grpc::ClientContext context;
-                                        set_limit(context, limit);
-                                        wire::ConfigureRequest request;
-                                        *request.mutable_configuration() = jobs::to_wire(call.value);
-                                        wire::ConfigureReply reply;
-                                        const grpc::Status status =
-                                            to.stub().Configure(&context, request, &reply);
-                                        durable = status.ok() && reply.durable();
-                                        return end_of(status, reply.acting());
-                                    });
-    if (end == call_end::answered && durable)
+    const call_result end =
+        leader_client_.call(std::chrono::steady_clock::now() + answer_timeout,
+                            [&](control_channel& to, duration limit)
+                            {
+                                grpc::ClientContext context;
+                                set_timeout(context, limit);
+                                wire::ConfigureRequest request;
+                                *request.mutable_configuration() = jobs::to_wire(call.value);
+                                wire::ConfigureReply reply;
+                                const grpc::Status status = to.stub().Configure(&context, request, &reply);
+                                durable = status.ok() && reply.durable();
+                                return to_call_result(status, reply.acting());
+                            });
+    if (end == call_result::answered && durable)
     {
-        return plain(200, "{}");
+        return json_response(200, "{}");
     }
     ++counts_.configurations_unanswered;
     logging::write(
         logging::event(part, "configuration_unanswered", "A configuration could not be made durable in time.")
             .with("version", static_cast<std::int64_t>(call.value.version))
-            .with("known_leader", link_.leader()));
-    return plain(503, R"({"error":"no leader has answered in time"})");
+            .with("known_leader", leader_client_.leader()));
+    return json_response(503, R"({"error":"no leader has answered in time"})");
 }
 
-http::response control_server::answer(const protocol::read_configuration_call& /*call*/)
+http::response control_server::handle(const protocol::read_configuration_call& /*call*/)
 {
     std::optional<std::string> document;
     bool certified = false;
     if (acting())
     {
-        certified = certified_read(
+        certified = linearizable_read(
             [this]
             {
                 return acting_term();
@@ -116,30 +116,30 @@
     }
     else
     {
-        const call_end end =
-            link_.call(std::chrono::steady_clock::now() + answer_limit,
-                       [&](control_channel& to, duration limit)
-                       {
-                           grpc::ClientContext context;
-                           set_limit(context, limit);
-                           wire::ReadConfigurationReply reply;
-                           const grpc::Status status = to.stub().ReadConfiguration(&context, {}, &reply);
-                           document = reply.present() ? std::optional(reply.document()) : std::nullopt;
-                           return end_of(status, reply.acting());
-                       });
-        certified = end == call_end::answered;
+        const call_result end = leader_client_.call(
+            std::chrono::steady_clock::now() + answer_timeout,
+            [&](control_channel& to, duration limit)
+            {
+                grpc::ClientContext context;
+                set_timeout(context, limit);
+                wire::ReadConfigurationReply reply;
+                const grpc::Status status = to.stub().ReadConfiguration(&context, {}, &reply);
+                document = reply.present() ? std::optional(reply.document()) : std::nullopt;
+                return to_call_result(status, reply.acting());
+            });
+        certified = end == call_result::answered;
     }
     if (!certified || !document.has_value())
     {
         ++counts_.reads_refused;
-        return plain(503, R"({"error":"the newest configuration is not known for sure"})");
+        return json_response(503, R"({"error":"the newest configuration is not known for sure"})");
     }
-    return plain(200, *document);
+    return json_response(200, *document);
 }
 
 // ---- workers -----------------------------------------------------------------------------------
 
-http::response control_server::answer(const protocol::announce_call& call)
+http::response control_server::handle(const protocol::announce_call& call)
 {
     ++counts_.announcements;
     const time_point now = std::chrono::steady_clock::now();
@@ -150,17 +150,17 @@
     if (acting())
     {
         deliver({call.worker});
-        return plain(200, "{}");
+        return json_response(200, "{}");
     }
     if (wait_until_relayed(call.worker.life))
     {
-        return plain(200, "{}");
+        return json_response(200, "{}");
     }
     ++counts_.announcements_refused;
-    return plain(503, R"({"error":"the leader is not reached"})");
+    return json_response(503, R"({"error":"the leader is not reached"})");
 }
 
-http::response control_server::answer(const protocol::goodbye_call& call)
+http::response control_server::handle(const protocol::goodbye_call& call)
 {
     const time_point now = std::chrono::steady_clock::now();
     std::vector<fleet::announcement> concerned;
@@ -172,7 +172,7 @@
     {
         deliver(concerned);
     }
-    return plain(200, "{}");
+    return json_response(200, "{}");
 }
 
 bool control_server::wait_until_relayed(const fleet::worker_life& life)
@@ -180,15 +180,15 @@
     std::unique_lock lock(registry_mutex_);
     const auto is_relayed = [&]
     {
-        return stopping_ || registry_.is_relayed(link_.leader_term(), life);
+        return stopping_ || registry_.is_relayed(leader_client_.leader_term(), life);
     };
     if (!is_relayed())
     {
         relay_pending_ = true;
         relay_wanted_.notify_one();
-        relayed_.wait_for(lock, answer_limit, is_relayed);
+        relayed_.wait_for(lock, answer_timeout, is_relayed);
     }
-    return registry_.is_relayed(link_.leader_term(), life);
+    return registry_.is_relayed(leader_client_.leader_term(), life);
 }
 
 void control_server::relay_announcements()
@@ -204,9 +204,9 @@
                                        return stopping_ || relay_pending_;
                                    });
             relay_pending_ = false;
-            registry_.expire(std::chrono::steady_clock::now(), registry_silence);
+            registry_.expire(std::chrono::steady_clock::now(), registry_expiry);
         }
-        const std::uint64_t term = link_.leader_term();
+        const std::uint64_t term = leader_client_.leader_term();
         if (term != 0 && !acting())
         {
             relay_once(term);
@@ -237,16 +237,16 @@
         *request.add_changed() = to_wire(one);
     }
     wire::RelayReply reply;
-    const call_end end = link_.call(std::chrono::steady_clock::now() + relay_limit,
-                                    [&](control_channel& to, duration limit)
-                                    {
-                                        grpc::ClientContext context;
-                                        set_limit(context, limit);
-                                        const grpc::Status status =
-                                            to.stub().Relay(&context, request, &reply);
-                                        return end_of(status, reply.acting());
-                                    });
-    if (end != call_end::answered || link_.leader_term() != leader_term)
+    const call_result end = leader_client_.call(std::chrono::steady_clock::now() + relay_timeout,
+                                                [&](control_channel& to, duration limit)
+                                                {
+                                                    grpc::ClientContext context;
+                                                    set_timeout(context, limit);
+                                                    const grpc::Status status =
+                                                        to.stub().Relay(&context, request, &reply);
+                                                    return to_call_result(status, reply.acting());
+                                                });
+    if (end != call_result::answered || leader_client_.leader_term() != leader_term)
     {
         return; // another leader: all is sent to it
     }
@@ -284,7 +284,7 @@
                       });
 }
 
-std::vector<fleet::worker_life> control_server::note_alive(const std::vector<fleet::worker_life>& lives)
+std::vector<fleet::worker_life> control_server::refresh_alive(const std::vector<fleet::worker_life>& lives)
 {
     const time_point now = std::chrono::steady_clock::now();
     std::vector<fleet::worker_life> unknown;
@@ -345,7 +345,7 @@
     to.push_back({"plumspoke_cancels_total", "", of.cancels});
     to.push_back({"plumspoke_leader_changes_total", "", of.leader_changes});
     to.push_back({"plumspoke_steps_without_lease_total", "", of.steps_without_lease});
-    to.push_back({"plumspoke_steps_given_way_total", "", of.steps_given_way});
+    to.push_back({"plumspoke_steps_given_way_total", "", of.steps_yielded});
 }
 
 void add_replica_lines(counter_lines& to, const replica::replica_status& of)
@@ -452,7 +452,7 @@
 
 } // namespace
 
-http::response control_server::answer_metrics() const
+http::response control_server::metrics_response() const
 {
     counter_lines lines;
     add_server_lines(lines, counts_);
@@ -471,7 +471,7 @@
         lines.push_back({"plumspoke_known_workers", "", known_workers_});
         add_unconfirmed_lines(lines, unconfirmed_);
     }
-    machine_.read(
+    state_machine_.read(
         [&lines](const jobs::store& state)
         {
             add_waiting_lines(lines, state);
@@ -491,16 +491,16 @@
 void control_server::add_silent_lines(std::vector<metrics::counter_line>& to) const
 {
     constexpr const char* name = "plumspoke_silent_calls_total";
-    add(to, name, "kind", "worker_poll", caller_->silent().polls);
-    add(to, name, "kind", "worker_order", caller_->silent().orders);
+    add(to, name, "kind", "worker_poll", worker_client_->silent().polls);
+    add(to, name, "kind", "worker_order", worker_client_->silent().orders);
     add(to, name, "kind", "replica", transport_->silent_calls());
-    add(to, name, "kind", "leader_link", link_.silent_calls());
+    add(to, name, "kind", "leader_link", leader_client_.silent_calls());
 }
 
 void control_server::add_connection_lines(std::vector<metrics::counter_line>& to) const
 {
-    to.push_back({"plumspoke_worker_connections", "", caller_->connections()});
-    to.push_back({"plumspoke_calls_without_connection_total", "", caller_->without_connection()});
+    to.push_back({"plumspoke_worker_connections", "", worker_client_->connections()});
+    to.push_back({"plumspoke_calls_without_connection_total", "", worker_client_->without_connection()});
     to.push_back({"plumspoke_failed_accepts_total", "", failed_accepts()});
 }
 
--- a/src/job_server/control_loop.cpp
+++ b/src/job_server/control_loop.cpp
@@ -22,8 +22,8 @@
 constexpr auto window_length = seconds(1); // of the loop's log line: a lease is lost within a few of them
 // After so much work without a pause the loop's thread rests, and the threads of peers and callers have their
 // turn: a fifth of the time, about what they use beside a busy loop.
-constexpr auto longest_stretch = milliseconds(8);
-constexpr auto stretch_rest = milliseconds(2);
+constexpr auto max_busy_period = milliseconds(8);
+constexpr auto rest_period = milliseconds(2);
 
 using metrics::loop_part;
 using metrics::measured_part;
@@ -66,21 +66,21 @@
     arm_timer();
     while (context_.run_one() > 0) // waits where there is nothing to do
     {
-        work_a_stretch();
+        run_ready_handlers();
     }
 }
 
 // A heartbeat passes through several threads of the process on its way and back, and each would wait behind a
 // loop that never rests, until the leader's lease is over. A VM that has used up its share of a processor
 // loses nothing by a rest.
-void control_server::work_a_stretch()
+void control_server::run_ready_handlers()
 {
-    const time_point rest_at = std::chrono::steady_clock::now() + longest_stretch;
+    const time_point rest_at = std::chrono::steady_clock::now() + max_busy_period;
     while (context_.poll_one() > 0)
     {
         if (std::chrono::steady_clock::now() >= rest_at)
         {
-            std::this_thread::sleep_for(stretch_rest);
+            std::this_thread::sleep_for(rest_period);
             return;
         }
     }
@@ -94,7 +94,7 @@
         {
             if (!cancelled)
             {
-                note_late(timer_.expiry());
+                record_lateness(timer_.expiry());
                 schedule_step();
                 arm_timer();
             }
@@ -108,33 +108,33 @@
         boost::asio::post(context_,
                           [this, wanted_at = std::chrono::steady_clock::now()]
                           {
-                              step_when_due(wanted_at);
+                              step_or_wait(wanted_at);
                           });
     }
 }
 
-void control_server::step_when_due(time_point wanted_at)
+void control_server::step_or_wait(time_point wanted_at)
 {
     const time_point due_at = std::max(wanted_at, pace_.next_at());
     if (std::chrono::steady_clock::now() >= due_at)
     {
-        note_late(due_at);
+        record_lateness(due_at);
         step();
         return;
     }
-    rest_timer_.expires_at(due_at);
-    rest_timer_.async_wait(
+    pacing_timer_.expires_at(due_at);
+    pacing_timer_.async_wait(
         [this, due_at](boost::system::error_code cancelled)
         {
             if (!cancelled)
             {
-                note_late(due_at);
+                record_lateness(due_at);
                 step();
             }
         });
 }
 
-void control_server::note_late(time_point wanted_at)
+void control_server::record_lateness(time_point wanted_at)
 {
     const std::int64_t late_us = microseconds_since(wanted_at);
     loop_late_.record(late_us);
@@ -149,7 +149,7 @@
     const time_point now = std::chrono::steady_clock::now();
     const measured_part following(loop_part::follow);
     const replica::replica_status status = driver_->status();
-    follow_leadership(now, status);
+    update_leadership(now, status);
     if (!dispatcher_.leading())
     {
         return;
@@ -164,12 +164,12 @@
     }
     if (pace_.gives_way(now, std::chrono::duration_cast<duration>(status.lease_end - now)))
     {
-        ++counts_.steps_given_way;
+        ++counts_.steps_yielded;
         return; // the timer leads to the next step
     }
     dispatch::dispatch_output decided = decide(now);
-    carry_out(decided);
-    refuses_jobs_ = dispatcher_.refuses_jobs(now);
+    execute(decided);
+    rejects_submits_ = dispatcher_.refuses_jobs(now);
     pace_.note(now, std::chrono::steady_clock::now());
 }
 
@@ -177,7 +177,7 @@
 {
     const measured_part deciding(loop_part::decide);
     const time_point begun = std::chrono::steady_clock::now();
-    dispatch::dispatch_output decided = machine_.read(
+    dispatch::dispatch_output decided = state_machine_.read(
         [this, now](const jobs::store& state)
         {
             dispatch::dispatch_output out = dispatcher_.decide(now, time_of_day_ms(), state);
@@ -210,7 +210,7 @@
     }
     if (window_.begun != time_point{})
     {
-        write_window(now, totals, open);
+        log_window(now, totals, open);
     }
     window_ = {};
     window_.begun = now;
@@ -228,15 +228,15 @@
     out.replica_us = status.processor_us;
     out.answers = meter_.passes(loop_part::answers);
     out.announcements = counts_.announcements;
-    out.silent_polls = caller_->silent().polls;
-    out.silent_orders = caller_->silent().orders;
+    out.silent_polls = worker_client_->silent().polls;
+    out.silent_orders = worker_client_->silent().orders;
     out.silent_replicas = transport_->silent_calls();
     return out;
 }
 
-void control_server::write_window(time_point now,
-                                  const loop_totals& totals,
-                                  const dispatch::unconfirmed_runs& open) const
+void control_server::log_window(time_point now,
+                                const loop_totals& totals,
+                                const dispatch::unconfirmed_runs& open) const
 {
     const auto since = [](std::uint64_t later, std::uint64_t earlier)
     {
@@ -277,7 +277,7 @@
 
 std::int64_t control_server::count_waiting() const
 {
-    return machine_.read(
+    return state_machine_.read(
         [](const jobs::store& state)
         {
             return static_cast<std::int64_t>(std::count_if(state.live().begin(),
@@ -289,7 +289,7 @@
         });
 }
 
-void control_server::follow_leadership(time_point now, const replica::replica_status& status)
+void control_server::update_leadership(time_point now, const replica::replica_status& status)
 {
     const bool same_term = dispatcher_.leading() && status.is_leader() && status.term == dispatcher_.term();
     if (same_term)
@@ -298,10 +298,10 @@
     }
     if (dispatcher_.leading())
     {
-        write_retired(now, status);
+        log_leadership_end(now, status);
         dispatcher_.retire();
-        refuses_jobs_ = false;
-        caller_->reset();
+        rejects_submits_ = false;
+        worker_client_->reset();
     }
     if (!status.may_act(now))
     {
@@ -311,7 +311,7 @@
     window_ = {};
     const measured_part taking_over(loop_part::take_over);
     const time_point begun = std::chrono::steady_clock::now();
-    machine_.read(
+    state_machine_.read(
         [&](const jobs::store& state)
         {
             dispatcher_.lead(now, status.term, state);
@@ -326,7 +326,7 @@
     arm_timer();
 }
 
-void control_server::write_retired(time_point now, const replica::replica_status& status) const
+void control_server::log_leadership_end(time_point now, const replica::replica_status& status) const
 {
     const replica::ended_term& last = status.last_ended;
     logging::event line(part, "retired", "Leads no more.");
@@ -347,7 +347,7 @@
     logging::write(line);
 }
 
-void control_server::carry_out(dispatch::dispatch_output& decided)
+void control_server::execute(dispatch::dispatch_output& decided)
 {
     const measured_part carrying_out(loop_part::carry_out);
     const time_point begun = std::chrono::steady_clock::now();
@@ -368,13 +368,13 @@
     }
     for (dispatch::order& what : decided.orders)
     {
-        caller_->send(std::move(what));
+        worker_client_->send(std::move(what));
     }
     const time_point now = std::chrono::steady_clock::now();
     if (now >= next_expiry_)
     {
         next_expiry_ = now + expire_interval;
-        caller_->expire(now);
+        worker_client_->expire(now);
     }
     carry_out_times_.record(microseconds_since(begun));
 }
--- a/src/job_server/control_server.cpp
+++ b/src/job_server/control_server.cpp
@@ -1,10 +1,10 @@
 #include "plumspoke/job_server/control_server.hpp"
 
 #include "control_service.hpp"
-#include "listener_watch.hpp"
+#include "grpc_keepalive.hpp"
+#include "grpc_log.hpp"
 #include "plumspoke/logging/event.hpp"
 #include "plumspoke/logging/logging.hpp"
-#include "silent_peers.hpp"
 
 #include <algorithm>
 #include <grpcpp/grpcpp.h>
@@ -18,9 +18,9 @@
 constexpr const char* part = "control";
 constexpr auto membership_interval = milliseconds(200);
 constexpr auto shutdown_timeout = milliseconds(300); // of the gRPC server, for calls that are being answered
-constexpr auto last_answers_limit =
-    milliseconds(500);                         // of operators and workers, once nothing is decided any more
-constexpr auto settle_time = milliseconds(75); // without a request, for a drain to be over
+constexpr auto final_answers_timeout =
+    milliseconds(500);                          // of operators and workers, once nothing is decided any more
+constexpr auto quiet_period = milliseconds(75); // without a request, for a drain to be over
 constexpr auto join_after_silence = milliseconds(1500); // two elections without a leader
 constexpr auto join_interval = milliseconds(500);
 constexpr std::int64_t metrics_threads = 2; // one reader, and one that has not closed yet
@@ -65,14 +65,15 @@
                                std::function<std::vector<std::string>()> seeds,
                                const protocol::control_protocol& operators,
                                const protocol::worker_protocol& workers)
-    : settings_(settings), operators_(operators), workers_(workers), link_(std::string(), std::move(seeds)),
-      dispatcher_(make_dispatch_options(settings)), grpc_(std::make_unique<grpc_part>())
+    : settings_(settings), operators_(operators), workers_(workers),
+      leader_client_(std::string(), std::move(seeds)), dispatcher_(make_dispatch_options(settings)),
+      grpc_(std::make_unique<grpc_members>())
 {
     storage_ = std::make_unique<replica::storage>(settings.data_folder);
     transport_ = std::make_unique<replica::grpc_transport>(settings.internal);
-    driver_ =
-        std::make_unique<replica::driver>(make_driver_options(settings), *storage_, machine_, *transport_);
-    caller_ = std::make_unique<worker_caller>(
+    driver_ = std::make_unique<replica::driver>(
+        make_driver_options(settings), *storage_, state_machine_, *transport_);
+    worker_client_ = std::make_unique<worker_client>(
         context_,
         workers_,
         [this](const dispatch::sent_order& sent, const dispatch::worker_answer& got)
@@ -91,7 +92,7 @@
     stop();
 }
 
-std::error_code control_server::found_group()
+std::error_code control_server::bootstrap_group()
 {
     const bool seed = std::find(settings_.control.begin(), settings_.control.end(), settings_.internal) !=
                       settings_.control.end();
@@ -110,7 +111,7 @@
 
 std::error_code control_server::start()
 {
-    if (const std::error_code failed = found_group(); failed)
+    if (const std::error_code failed = bootstrap_group(); failed)
     {
         return failed;
     }
@@ -118,12 +119,12 @@
     {
         return failed;
     }
-    watch_grpc_log();
+    install_grpc_log_handler();
     if (!start_grpc() || !start_http())
     {
         return std::make_error_code(std::errc::address_in_use);
     }
-    link_.start();
+    leader_client_.start();
     start_threads();
     logging::write(logging::event(part, "started", "Started.")
                        .with("member", storage_->identity())
@@ -143,7 +144,7 @@
     builder.AddListeningPort(settings_.internal, grpc::InsecureServerCredentials(), &bound_port);
     builder.AddChannelArgument(GRPC_ARG_ALLOW_REUSEPORT, 0);
     replica::take_large_messages(builder);
-    end_silent_connections(builder);
+    enable_keepalive(builder);
     builder.RegisterService(grpc_->replicas.get());
     builder.RegisterService(grpc_->control.get());
     grpc_->server = builder.BuildAndStart();
@@ -155,7 +156,7 @@
     http_ = std::make_unique<http::server>(make_http_options(settings_),
                                            [this](const http::request& received)
                                            {
-                                               return answer(received);
+                                               return handle(received);
                                            });
     return http_->start() && start_metrics();
 }
@@ -172,7 +173,7 @@
     metrics_http_ = std::make_unique<http::server>(options,
                                                    [this](const http::request& /*received*/)
                                                    {
-                                                       return answer_metrics();
+                                                       return metrics_response();
                                                    });
     return metrics_http_->start();
 }
@@ -207,7 +208,7 @@
         http_->begin_drain();
     }
     driver_->stop();
-    link_.stop();
+    leader_client_.stop();
     context_.stop();
     for (std::thread* one : {&loop_thread_, &membership_thread_, &relay_thread_})
     {
@@ -216,10 +217,10 @@
             one->join();
         }
     }
-    caller_->reset();
+    worker_client_->reset();
     if (http_ != nullptr)
     {
-        (void)http_->wait_until_idle(std::chrono::steady_clock::now() + last_answers_limit, settle_time);
+        (void)http_->wait_until_idle(std::chrono::steady_clock::now() + final_answers_timeout, quiet_period);
     }
     if (grpc_->server != nullptr)
     {
@@ -269,7 +270,7 @@
         {
             addresses.push_back(one.address);
         }
-        link_.learn(addresses);
+        leader_client_.add_addresses(addresses);
         if (!status.leader.empty())
         {
             leader_known_at = now;
@@ -286,7 +287,7 @@
 
 void control_server::join_group()
 {
-    const std::string leader = link_.leader();
+    const std::string leader = leader_client_.leader();
     if (leader.empty())
     {
         return; // the search goes on; whoever leads is asked next time
--- a/src/job_server/control_service.cpp
+++ b/src/job_server/control_service.cpp
@@ -1,7 +1,7 @@
 #include "control_service.hpp"
 
-#include "plumspoke/job_server/certified_read.hpp"
-#include "plumspoke/job_server/leader_wait.hpp"
+#include "plumspoke/job_server/leader_backoff.hpp"
+#include "plumspoke/job_server/linearizable_read.hpp"
 #include "plumspoke/jobs/codec.hpp"
 #include "plumspoke/logging/event.hpp"
 #include "plumspoke/time/time_of_day.hpp"
@@ -28,7 +28,7 @@
 }
 
 /// @brief What a path means under the configuration in force.
-struct addressed
+struct resolved_path
 {
     jobs::outcome problem = jobs::outcome::accepted;
     jobs::queue of;
@@ -36,9 +36,9 @@
     bool known_job = false; // there is a job with this id
 };
 
-addressed resolve(const jobs::store& state, const std::string& host, const std::string& path)
+resolved_path resolve(const jobs::store& state, const std::string& host, const std::string& path)
 {
-    addressed out;
+    resolved_path out;
     if (state.current().version == 0)
     {
         out.problem = jobs::outcome::unconfigured;
@@ -111,7 +111,7 @@
 
 replica::proposal_result control_server::commit(const jobs::command& value,
                                                 duration limit,
-                                                std::shared_ptr<const under_way::entry> held)
+                                                std::shared_ptr<const in_flight_submits::entry> held)
 {
     const time_point begun = std::chrono::steady_clock::now();
     const auto promise = std::make_shared<std::promise<replica::proposal_result>>();
@@ -156,7 +156,7 @@
 
 std::optional<std::string> control_server::read_configuration() const
 {
-    return machine_.read(
+    return state_machine_.read(
         [](const jobs::store& state) -> std::optional<std::string>
         {
             if (state.current().version == 0)
@@ -188,14 +188,14 @@
 bool control_server::service::read(wire::JobReply& reply, const Reader& reader) const
 {
     // A process without processor time, or behind a long decision, may outlive its lease before it reads.
-    const bool certain = certified_read(
+    const bool certain = linearizable_read(
         [this]
         {
             return owner_.acting_term();
         },
         [&]
         {
-            owner_.machine_.read(reader);
+            owner_.state_machine_.read(reader);
         });
     reply.set_acting(certain);
     if (!certain)
@@ -212,7 +212,7 @@
                                              wire::JobReply* reply)
 {
     std::uint32_t max_body = 0;
-    addressed to;
+    resolved_path to;
     const bool certain = read(*reply,
                               [&](const jobs::store& state)
                               {
@@ -228,7 +228,7 @@
     {
         set_outcome(*reply, to.problem);
         reply->set_return_after_ms(
-            to.problem == jobs::outcome::unconfigured ? spread_return_ms(request->path()) : 0);
+            to.problem == jobs::outcome::unconfigured ? jittered_return_ms(request->path()) : 0);
         return grpc::Status::OK;
     }
     if (!is_job_id(to.id))
@@ -246,17 +246,17 @@
         set_outcome(*reply, jobs::outcome::known);
         return grpc::Status::OK;
     }
-    take(*request, to.of, to.id, *reply);
+    accept_submit(*request, to.of, to.id, *reply);
     return grpc::Status::OK;
 }
 
-void control_server::service::take(const wire::SubmitRequest& request,
-                                   const jobs::queue& into,
-                                   const std::string& id,
-                                   wire::JobReply& reply)
+void control_server::service::accept_submit(const wire::SubmitRequest& request,
+                                            const jobs::queue& into,
+                                            const std::string& id,
+                                            wire::JobReply& reply)
 {
-    const auto held = std::make_shared<const under_way::entry>(owner_.submits_, id);
-    if (owner_.refuses_jobs_ && !held->has_other())
+    const auto held = std::make_shared<const in_flight_submits::entry>(owner_.submits_, id);
+    if (owner_.rejects_submits_ && !held->has_duplicate())
     {
         // Taken now it would wait behind all that the leader is late with; elsewhere, or later, it need not.
         ++owner_.counts_.submits_refused;
@@ -265,12 +265,12 @@
                            .with("job", id)
                            .with("queue", into.name));
         set_outcome(reply, jobs::outcome::refused);
-        reply.set_return_after_ms(spread_return_ms(request.path()));
+        reply.set_return_after_ms(jittered_return_ms(request.path()));
         return;
     }
     jobs::submit value;
     value.id = id;
-    value.taken_from = into;
+    value.source_queue = into;
     value.spec = jobs::from_wire(request.spec());
     value.at_ms = time_of_day_ms();
     const replica::proposal_result result = owner_.commit(value, milliseconds(request.limit_ms()), held);
@@ -292,22 +292,23 @@
                        .with("error", result.error.message()));
     const bool not_proposed =
         result.error == replica::errc::not_leader || result.error == replica::errc::queue_full;
-    const bool surely_not = not_proposed && !held->has_other(); // else an earlier try may yet be committed
+    const bool definitely_rejected =
+        not_proposed && !held->has_duplicate(); // else an earlier try may yet be committed
     if (result.error == replica::errc::not_leader)
     {
         reply.set_acting(false); // it has just changed; the entry asks the next one
     }
-    owner_.counts_.submits_refused += surely_not ? 1 : 0;
-    owner_.counts_.submits_undecided += surely_not ? 0 : 1;
-    set_outcome(reply, surely_not ? jobs::outcome::refused : jobs::outcome::undecided);
-    reply.set_return_after_ms(spread_return_ms(request.path()));
+    owner_.counts_.submits_refused += definitely_rejected ? 1 : 0;
+    owner_.counts_.submits_undecided += definitely_rejected ? 0 : 1;
+    set_outcome(reply, definitely_rejected ? jobs::outcome::refused : jobs::outcome::undecided);
+    reply.set_return_after_ms(jittered_return_ms(request.path()));
 }
 
-void control_server::service::describe(const jobs::store& state,
-                                       const wire::JobRequest& request,
-                                       wire::JobReply& reply) const
+void control_server::service::describe_state(const jobs::store& state,
+                                             const wire::JobRequest& request,
+                                             wire::JobReply& reply) const
 {
-    const addressed to = resolve(state, request.host(), request.path());
+    const resolved_path to = resolve(state, request.host(), request.path());
     if (to.problem != jobs::outcome::accepted)
     {
         set_outcome(reply, to.problem);
@@ -324,7 +325,7 @@
         // Under the state's lock: a record that is applied before this read is known, one that isn't is held.
         const bool undecided = owner_.submits_.contains(to.id);
         set_outcome(reply, undecided ? jobs::outcome::undecided : jobs::outcome::unknown_job);
-        reply.set_return_after_ms(undecided ? spread_return_ms(request.path()) : 0);
+        reply.set_return_after_ms(undecided ? jittered_return_ms(request.path()) : 0);
         return;
     }
     reply.set_phase(static_cast<std::uint32_t>(state.find(to.id)->phase));
@@ -337,7 +338,7 @@
     (void)read(*reply,
                [&](const jobs::store& state)
                {
-                   describe(state, *request, *reply);
+                   describe_state(state, *request, *reply);
                });
     return grpc::Status::OK;
 }
@@ -346,7 +347,7 @@
                                              const wire::JobRequest* request,
                                              wire::JobReply* reply)
 {
-    addressed to;
+    resolved_path to;
     const bool certain = read(*reply,
                               [&](const jobs::store& state)
                               {
@@ -400,7 +401,7 @@
                                                         wire::ReadConfigurationReply* reply)
 {
     std::optional<std::string> document;
-    const bool certain = certified_read(
+    const bool certain = linearizable_read(
         [this]
         {
             return owner_.acting_term();
@@ -439,7 +440,7 @@
         const bool told = i < request->alive_born_ms_size(); // not by an older control VM
         alive.push_back({request->alive(i), told ? request->alive_born_ms(i) : 0});
     }
-    for (const fleet::worker_life& life : owner_.note_alive(alive))
+    for (const fleet::worker_life& life : owner_.refresh_alive(alive))
     {
         reply->add_unknown(life.id);
         reply->add_unknown_born_ms(life.born_ms);
--- a/src/job_server/control_service.hpp
+++ b/src/job_server/control_service.hpp
@@ -39,17 +39,18 @@
     /// @brief Reads the state for an answer.
     /// @return false where this process may have been overtaken: the reply says who leads, and nothing else
     template <typename Reader> [[nodiscard]] bool read(wire::JobReply& reply, const Reader& reader) const;
-    void describe(const jobs::store& state, const wire::JobRequest& request, wire::JobReply& reply) const;
-    void take(const wire::SubmitRequest& request,
-              const jobs::queue& into,
-              const std::string& id,
-              wire::JobReply& reply);
+    void
+    describe_state(const jobs::store& state, const wire::JobRequest& request, wire::JobReply& reply) const;
+    void accept_submit(const wire::SubmitRequest& request,
+                       const jobs::queue& into,
+                       const std::string& id,
+                       wire::JobReply& reply);
 
     control_server& owner_;
 };
 
 /// @brief What needs grpcpp; kept out of the public header.
-struct control_server::grpc_part
+struct control_server::grpc_members
 {
     std::unique_ptr<grpc::Service> replicas;
     std::unique_ptr<grpc::Service> control;
--- a/src/job_server/entry_server.cpp
+++ b/src/job_server/entry_server.cpp
@@ -1,7 +1,7 @@
 #include "plumspoke/job_server/entry_server.hpp"
 
 #include "control_channel.hpp"
-#include "plumspoke/job_server/told_outcome.hpp"
+#include "plumspoke/job_server/combined_outcome.hpp"
 #include "plumspoke/jobs/codec.hpp"
 #include "plumspoke/logging/event.hpp"
 
@@ -14,16 +14,16 @@
 {
 
 constexpr const char* part = "entry";
-constexpr std::int64_t default_limit_ms = 3000; // where the caller doesn't say how long it waits
-constexpr std::int64_t reserve_ms = 150;        // for the answer's way back, several times over
-constexpr std::int64_t least_limit_ms = 100;
-constexpr auto ready_silence = milliseconds(2000);      // four missed looks at the leader
-constexpr auto drain_grace_period = milliseconds(2500); // the balancer misses two looks, a second apart
-constexpr auto last_answers_limit = milliseconds(700);  // for answers that are being written at the end
-constexpr auto settle_time = milliseconds(75);          // without a request, for a drain to be over
-constexpr auto last_settle_time = milliseconds(300);    // a busy VM's threads read what has arrived within it
-constexpr std::int64_t readiness_threads = 4; // one answers while others wait for silent connections
-constexpr std::int64_t metrics_threads = 2;   // one reader, and one that has not closed yet
+constexpr std::int64_t default_timeout_ms = 3000; // where the caller doesn't say how long it waits
+constexpr std::int64_t response_margin_ms = 150;  // for the answer's way back, several times over
+constexpr std::int64_t min_timeout_ms = 100;
+constexpr auto max_leader_contact_age = milliseconds(2000); // four missed looks at the leader
+constexpr auto drain_grace_period = milliseconds(2500);     // the balancer misses two looks, a second apart
+constexpr auto final_answers_timeout = milliseconds(700);   // for answers that are being written at the end
+constexpr auto quiet_period = milliseconds(75);             // without a request, for a drain to be over
+constexpr auto final_quiet_period = milliseconds(300); // a busy VM's threads read what has arrived within it
+constexpr std::int64_t readiness_threads = 4;          // one answers while others wait for silent connections
+constexpr std::int64_t metrics_threads = 2;            // one reader, and one that has not closed yet
 
 http::server_options make_options(const std::string& address, std::int64_t threads)
 {
@@ -34,24 +34,24 @@
 }
 
 /// @brief Reads a leader's reply.
-call_end read_reply(const grpc::Status& status,
-                    const wire::JobReply& reply,
-                    leader_link& link,
-                    protocol::caller_answer& into)
+call_result read_reply(const grpc::Status& status,
+                       const wire::JobReply& reply,
+                       leader_client& link,
+                       protocol::caller_answer& into)
 {
     if (!status.ok())
     {
-        return call_end::unknown;
+        return call_result::unknown;
     }
     if (!reply.acting())
     {
         link.hint(reply.leader_address());
         const bool undecided = reply.outcome() == static_cast<std::uint32_t>(jobs::outcome::undecided);
-        return undecided ? call_end::unknown : call_end::not_done;
+        return undecided ? call_result::unknown : call_result::not_executed;
     }
     into.result = static_cast<jobs::outcome>(reply.outcome());
     into.return_after_ms = reply.return_after_ms();
-    return call_end::answered;
+    return call_result::answered;
 }
 
 /// @brief Reads what a leader says of a job, or of a queue.
@@ -77,12 +77,13 @@
     return out;
 }
 
-protocol::caller_answer give_up(const protocol::caller_request& asked, call_end end, bool changes_something)
+protocol::caller_answer
+make_failure(const protocol::caller_request& asked, call_result end, bool changes_something)
 {
     protocol::caller_answer out;
     out.result =
-        end == call_end::unknown && changes_something ? jobs::outcome::undecided : jobs::outcome::refused;
-    out.return_after_ms = spread_return_ms(asked.path);
+        end == call_result::unknown && changes_something ? jobs::outcome::undecided : jobs::outcome::refused;
+    out.return_after_ms = jittered_return_ms(asked.path);
     return out;
 }
 
@@ -98,7 +99,7 @@
 entry_server::entry_server(const settings::job_settings& settings,
                            std::function<std::vector<std::string>()> seeds,
                            const protocol::caller_protocol& callers)
-    : settings_(settings), callers_(callers), link_(std::string(), std::move(seeds))
+    : settings_(settings), callers_(callers), leader_client_(std::string(), std::move(seeds))
 {
 }
 
@@ -117,7 +118,7 @@
     http_ = std::make_unique<http::server>(options,
                                            [this](const http::request& received)
                                            {
-                                               return answer(received);
+                                               return handle(received);
                                            });
     readiness_http_ = std::make_unique<http::server>(make_options(settings_.readiness, readiness_threads),
                                                      [this](const http::request& /*received*/)
@@ -126,14 +127,14 @@
                                                          out.status = ready() ? 200 : 503;
                                                          return out;
                                                      });
-    link_.start();
+    leader_client_.start();
     bool listening = http_->start() && readiness_http_->start();
     if (!settings_.metrics.empty())
     {
         metrics_http_ = std::make_unique<http::server>(make_options(settings_.metrics, metrics_threads),
                                                        [this](const http::request& /*received*/)
                                                        {
-                                                           return answer_metrics();
+                                                           return metrics_response();
                                                        });
         listening = metrics_http_->start() && listening;
     }
@@ -152,18 +153,18 @@
         return;
     }
     const time_point begun = std::chrono::steady_clock::now();
-    answer_by_ = begun + milliseconds(settings_.stop_ms - reserve_ms);
+    answer_deadline_ = begun + milliseconds(settings_.stop_ms - response_margin_ms);
     draining_ = true;
-    link_.end_calls_by(answer_by_);
+    leader_client_.limit_deadlines(answer_deadline_);
     http_->begin_drain();
     logging::write(logging::event(part, "draining", "Takes no new connections; answers what is open.")
                        .with("in_flight", http_->in_flight()));
-    std::this_thread::sleep_until(std::min(begun + drain_grace_period, answer_by_));
-    (void)http_->wait_until_idle(answer_by_, settle_time);
-    link_.stop();
+    std::this_thread::sleep_until(std::min(begun + drain_grace_period, answer_deadline_));
+    (void)http_->wait_until_idle(answer_deadline_, quiet_period);
+    leader_client_.stop();
     // From now, not from the deadline: a process that stood still has read nothing of what arrived meanwhile.
     const bool idle =
-        http_->wait_until_idle(std::chrono::steady_clock::now() + last_answers_limit, last_settle_time);
+        http_->wait_until_idle(std::chrono::steady_clock::now() + final_answers_timeout, final_quiet_period);
     logging::write(
         logging::event(part, "stopped", "Stopped.")
             .with("in_flight", idle ? 0 : http_->in_flight())
@@ -174,21 +175,22 @@
 
 bool entry_server::ready() const
 {
-    const std::optional<time_point> contact = link_.last_contact();
-    return !draining_ && contact.has_value() && std::chrono::steady_clock::now() < *contact + ready_silence;
+    const std::optional<time_point> contact = leader_client_.last_contact();
+    return !draining_ && contact.has_value() &&
+           std::chrono::steady_clock::now() < *contact + max_leader_contact_age;
 }
 
 // ---- requests ----------------------------------------------------------------------------------
 
 time_point entry_server::deadline_of(const protocol::caller_request& asked) const
 {
-    const std::int64_t limit_ms = asked.time_left_ms > 0 ? asked.time_left_ms : default_limit_ms;
-    const time_point own =
-        std::chrono::steady_clock::now() + milliseconds(std::max(limit_ms - reserve_ms, least_limit_ms));
-    return draining_ ? std::min(own, answer_by_) : own;
+    const std::int64_t limit_ms = asked.time_left_ms > 0 ? asked.time_left_ms : default_timeout_ms;
+    const time_point own = std::chrono::steady_clock::now() +
+                           milliseconds(std::max(limit_ms - response_margin_ms, min_timeout_ms));
+    return draining_ ? std::min(own, answer_deadline_) : own;
 }
 
-http::response entry_server::answer(const http::request& received)
+http::response entry_server::handle(const http::request& received)
 {
     ++counts_.requests;
     const time_point begun = std::chrono::steady_clock::now();
@@ -208,7 +210,7 @@
             }
             else
             {
-                return carry(asked, call, received.body.size());
+                return forward(asked, call, received.body.size());
             }
         },
         asked.call);
@@ -221,15 +223,15 @@
                            .with("path", asked.path)
                            .with("method", received.method)
                            .with("outcome", static_cast<std::int64_t>(told.result))
-                           .with("known_leader", link_.leader())
+                           .with("known_leader", leader_client_.leader())
                            .with("waited_ms", took.count() / 1000));
     }
     return callers_.write(told);
 }
 
-protocol::caller_answer entry_server::carry(const protocol::caller_request& asked,
-                                            const protocol::submit_call& call,
-                                            std::size_t body_bytes)
+protocol::caller_answer entry_server::forward(const protocol::caller_request& asked,
+                                              const protocol::submit_call& call,
+                                              std::size_t body_bytes)
 {
     wire::SubmitRequest request;
     request.set_host(asked.host);
@@ -244,12 +246,12 @@
         got.status = to.stub().Submit(&context, request, &got.reply);
         return got;
     };
-    return ask_leader(asked, true, submit);
+    return call_leader(asked, true, submit);
 }
 
-protocol::caller_answer entry_server::carry(const protocol::caller_request& asked,
-                                            const protocol::read_call& /*call*/,
-                                            std::size_t /*body_bytes*/)
+protocol::caller_answer entry_server::forward(const protocol::caller_request& asked,
+                                              const protocol::read_call& /*call*/,
+                                              std::size_t /*body_bytes*/)
 {
     const wire::JobRequest request = make_job_request(asked);
     const auto read = [&request](control_channel& to, grpc::ClientContext& context, duration /*limit*/)
@@ -258,12 +260,12 @@
         got.status = to.stub().State(&context, request, &got.reply);
         return got;
     };
-    return ask_leader(asked, false, read);
+    return call_leader(asked, false, read);
 }
 
-protocol::caller_answer entry_server::carry(const protocol::caller_request& asked,
-                                            const protocol::cancel_call& /*call*/,
-                                            std::size_t /*body_bytes*/)
+protocol::caller_answer entry_server::forward(const protocol::caller_request& asked,
+                                              const protocol::cancel_call& /*call*/,
+                                              std::size_t /*body_bytes*/)
 {
     const wire::JobRequest request = make_job_request(asked);
     const auto cancel = [&request](control_channel& to, grpc::ClientContext& context, duration /*limit*/)
@@ -272,10 +274,10 @@
         got.status = to.stub().Cancel(&context, request, &got.reply);
         return got;
     };
-    return ask_leader(asked, true, cancel);
+    return call_leader(asked, true, cancel);
 }
 
-protocol::caller_answer entry_server::ask_leader(
+protocol::caller_answer entry_server::call_leader(
     const protocol::caller_request& asked,
     bool changes_something,
     const std::function<job_answer(control_channel&, grpc::ClientContext&, duration)>& ask)
@@ -283,27 +285,27 @@
     protocol::caller_answer out;
     bool may_be_done = false;
     const double in_use = static_cast<double>(http_->in_flight()) / static_cast<double>(http_->threads());
-    const call_end end = link_.call(
+    const call_result end = leader_client_.call(
         deadline_of(asked),
         [&](control_channel& to, duration limit)
         {
             grpc::ClientContext context;
-            set_limit(context, limit);
+            set_timeout(context, limit);
             const job_answer got = ask(to, context, limit);
-            const call_end one = read_reply(got.status, got.reply, link_, out);
-            if (!changes_something && one == call_end::answered)
+            const call_result one = read_reply(got.status, got.reply, leader_client_, out);
+            if (!changes_something && one == call_result::answered)
             {
                 read_state(got.reply, out);
             }
-            out.result = told_outcome(out.result, may_be_done);
-            may_be_done = changes_something && (may_be_done || one == call_end::unknown);
+            out.result = combined_outcome(out.result, may_be_done);
+            may_be_done = changes_something && (may_be_done || one == call_result::unknown);
             return one;
         },
-        leader_timeout::of_caller(in_use));
-    return end == call_end::answered ? out : give_up(asked, end, changes_something);
+        leader_timeout::for_caller(in_use));
+    return end == call_result::answered ? out : make_failure(asked, end, changes_something);
 }
 
-http::response entry_server::answer_metrics() const
+http::response entry_server::metrics_response() const
 {
     std::vector<metrics::counter_line> lines = {
         {"plumspoke_entry_requests_total", "", counts_.requests},
@@ -314,7 +316,9 @@
         {"plumspoke_log_lines_dropped_total",
          metrics::label("reason", "not_writable"),
          logging::read_dropped().not_writable},
-        {"plumspoke_silent_calls_total", metrics::label("kind", "leader_link"), link_.silent_calls()},
+        {"plumspoke_silent_calls_total",
+         metrics::label("kind", "leader_link"),
+         leader_client_.silent_calls()},
         {"plumspoke_http_open_connections", "", static_cast<std::uint64_t>(http_->open_connections())},
         {"plumspoke_http_threads", "", static_cast<std::uint64_t>(http_->threads())}};
     constexpr std::array names = {"accepted",
--- a/src/job_server/listener_watch.cpp
+++ b/src/job_server/grpc_log.cpp
@@ -1,4 +1,4 @@
-#include "listener_watch.hpp"
+#include "grpc_log.hpp"
 
 #include "plumspoke/logging/event.hpp"
 
@@ -14,7 +14,7 @@
 
 std::atomic<std::uint64_t> failed_accept_count{0};
 
-void take_line(gpr_log_func_args* line)
+void handle_log_line(gpr_log_func_args* line)
 {
     const std::string_view message = line->message;
     if (message.find("Failed accept") != std::string_view::npos)
@@ -29,9 +29,9 @@
 
 } // namespace
 
-void watch_grpc_log()
+void install_grpc_log_handler()
 {
-    gpr_set_log_function(&take_line);
+    gpr_set_log_function(&handle_log_line);
 }
 
 std::uint64_t failed_accepts() noexcept
--- a/src/job_server/listener_watch.hpp
+++ b/src/job_server/grpc_log.hpp
@@ -13,7 +13,7 @@
 {
 
 /// @brief Takes the library's error lines into our log, and counts those of a failed accept.
-void watch_grpc_log();
+void install_grpc_log_handler();
 
 /// @brief Times that a gRPC server of this process failed to accept a connection.
 [[nodiscard]] std::uint64_t failed_accepts() noexcept;
--- a/src/job_server/leader_link.cpp
+++ b/src/job_server/leader_client.cpp
@@ -1,4 +1,4 @@
-#include "plumspoke/job_server/leader_link.hpp"
+#include "plumspoke/job_server/leader_client.hpp"
 
 #include "control_channel.hpp"
 #include "plumspoke/logging/event.hpp"
@@ -13,20 +13,20 @@
 {
 
 // Between looks at a leader that answers: half of the shortest time that users give an entry to notice.
-constexpr auto watch_interval = milliseconds(500);
-constexpr auto ask_limit = milliseconds(300); // an answer takes about 2 ms
+constexpr auto poll_interval = milliseconds(500);
+constexpr auto query_timeout = milliseconds(300); // an answer takes about 2 ms
 // gRPC must not lose a channel inside a callback of its own: it ends the process ("prior > 0"). So the
-// questions, which hold the channels, are dropped by the searching thread, long after their limit.
-constexpr auto keep_questions = seconds(2);
+// queries, which hold the channels, are dropped by the searching thread, long after their limit.
+constexpr auto query_retention = seconds(2);
 constexpr auto stop_check_interval = milliseconds(50); // of a search
-constexpr auto connect_limit = milliseconds(250);
-constexpr auto longest_attempt = milliseconds(900); // then another process is asked
-constexpr auto least_attempt = milliseconds(150);   // less than this is not split in two
+constexpr auto connect_timeout = milliseconds(250);
+constexpr auto max_attempt_timeout = milliseconds(900); // then another process is asked
+constexpr auto min_split_timeout = milliseconds(150);   // less than this is not split in two
 
 /// @brief Time for one attempt: the connection may be silent, so half is left for the next one.
-duration attempt_limit(duration left)
+duration attempt_timeout(duration left)
 {
-    return left / 2 < least_attempt ? left : std::min<duration>(left / 2, longest_attempt);
+    return left / 2 < min_split_timeout ? left : std::min<duration>(left / 2, max_attempt_timeout);
 }
 
 } // namespace
@@ -51,62 +51,62 @@
     return channel_->WaitForConnected(std::chrono::system_clock::now() + limit);
 }
 
-void set_limit(grpc::ClientContext& context, std::chrono::microseconds limit)
+void set_timeout(grpc::ClientContext& context, std::chrono::microseconds limit)
 {
     context.set_deadline(std::chrono::system_clock::now() + limit);
 }
 
 // ---- construction ------------------------------------------------------------------------------
 
-leader_link::leader_link(std::string self, std::function<std::vector<std::string>()> seeds)
+leader_client::leader_client(std::string self, std::function<std::vector<std::string>()> seeds)
     : self_(std::move(self)), seeds_(std::move(seeds)), leaderless_since_(std::chrono::steady_clock::now())
 {
-    learn(seeds_());
+    add_addresses(seeds_());
 }
 
-leader_link::~leader_link()
+leader_client::~leader_client()
 {
     stop();
 }
 
-void leader_link::start()
+void leader_client::start()
 {
     thread_ = std::thread(
         [this]
         {
-            watch();
+            run_poll_loop();
         });
 }
 
-void leader_link::stop()
+void leader_client::stop()
 {
     {
         const std::lock_guard lock(mutex_);
         stopping_ = true;
     }
-    changed_.notify_all();
-    search_wanted_.notify_all();
+    leader_changed_.notify_all();
+    search_signal_.notify_all();
     if (thread_.joinable())
     {
         thread_.join();
-        cancel_questions();
+        cancel_queries();
     }
 }
 
-void leader_link::end_calls_by(time_point limit)
+void leader_client::limit_deadlines(time_point limit)
 {
     {
         const std::lock_guard lock(mutex_);
-        calls_end_by_ = limit;
+        deadline_limit_ = limit;
     }
-    changed_.notify_all();
+    leader_changed_.notify_all();
 }
 
 // ---- calls -------------------------------------------------------------------------------------
 
-call_end leader_link::call(time_point deadline,
-                           const std::function<call_end(control_channel&, duration)>& attempt,
-                           const leader_timeout& timeout)
+call_result leader_client::call(time_point deadline,
+                                const std::function<call_result(control_channel&, duration)>& attempt,
+                                const leader_timeout& timeout)
 {
     bool may_be_done = false;
     while (true)
@@ -114,36 +114,37 @@
         const std::optional<std::string> address = wait_for_leader(deadline, timeout);
         if (!address.has_value())
         {
-            return may_be_done ? call_end::unknown : call_end::not_done;
+            return may_be_done ? call_result::unknown : call_result::not_executed;
         }
         const std::shared_ptr<control_channel> to = channel(*address);
-        const auto left =
-            std::chrono::duration_cast<duration>(bounded(deadline) - std::chrono::steady_clock::now());
-        if (!to->connect(std::min<duration>(left, connect_limit)))
+        const auto left = std::chrono::duration_cast<duration>(effective_deadline(deadline) -
+                                                               std::chrono::steady_clock::now());
+        if (!to->connect(std::min<duration>(left, connect_timeout)))
         {
-            doubt(*to, true);
+            report_failure(*to, true);
             continue;
         }
-        const duration limit = attempt_limit(left);
+        const duration limit = attempt_timeout(left);
         const time_point begun = std::chrono::steady_clock::now();
-        const call_end end = attempt(*to, limit);
-        const bool timed_out = end == call_end::unknown && std::chrono::steady_clock::now() >= begun + limit;
-        note_ended(*to, end != call_end::unknown, timed_out);
+        const call_result end = attempt(*to, limit);
+        const bool timed_out =
+            end == call_result::unknown && std::chrono::steady_clock::now() >= begun + limit;
+        record_call(*to, end != call_result::unknown, timed_out);
         switch (end)
         {
-        case call_end::answered:
-            return call_end::answered;
-        case call_end::not_done:
+        case call_result::answered:
+            return call_result::answered;
+        case call_result::not_executed:
             break;
-        case call_end::unknown:
+        case call_result::unknown:
             may_be_done = true;
             break;
         }
-        doubt(*to, end == call_end::unknown);
+        report_failure(*to, end == call_result::unknown);
     }
 }
 
-void leader_link::note_ended(control_channel& over, bool answered, bool timed_out) noexcept
+void leader_client::record_call(control_channel& over, bool answered, bool timed_out) noexcept
 {
     silent_calls_ += over.answered() && timed_out ? 1 : 0;
     if (answered)
@@ -152,38 +153,38 @@
     }
 }
 
-void leader_link::hint(const std::string& address)
+void leader_client::hint(const std::string& address)
 {
     if (!address.empty())
     {
-        learn({address});
+        add_addresses({address});
     }
 }
 
-time_point leader_link::bounded(time_point deadline) const
+time_point leader_client::effective_deadline(time_point deadline) const
 {
     const std::lock_guard lock(mutex_);
-    return std::min(deadline, calls_end_by_);
+    return std::min(deadline, deadline_limit_);
 }
 
-std::optional<std::string> leader_link::wait_for_leader(time_point deadline, const leader_timeout& timeout)
+std::optional<std::string> leader_client::wait_for_leader(time_point deadline, const leader_timeout& timeout)
 {
     std::unique_lock lock(mutex_);
     while (true)
     {
-        const time_point bound = calls_end_by_;
+        const time_point bound = deadline_limit_;
         const time_point end = std::min(deadline, bound);
         const time_point now = std::chrono::steady_clock::now();
         const auto since = std::chrono::duration_cast<duration>(now - leaderless_since_);
         const auto left = std::chrono::duration_cast<duration>(end - now);
         const bool woken =
-            changed_.wait_until(lock,
-                                now + timeout.wait_limit(left, since),
-                                [this, bound]
-                                {
-                                    return stopping_ || !leader_.empty() || calls_end_by_ != bound;
-                                });
-        if (!woken || stopping_ || std::chrono::steady_clock::now() >= std::min(deadline, calls_end_by_))
+            leader_changed_.wait_until(lock,
+                                       now + timeout.wait_limit(left, since),
+                                       [this, bound]
+                                       {
+                                           return stopping_ || !leader_.empty() || deadline_limit_ != bound;
+                                       });
+        if (!woken || stopping_ || std::chrono::steady_clock::now() >= std::min(deadline, deadline_limit_))
         {
             return std::nullopt;
         }
@@ -194,7 +195,7 @@
     }
 }
 
-void leader_link::doubt(const control_channel& over, bool silent)
+void leader_client::report_failure(const control_channel& over, bool silent)
 {
     const std::lock_guard lock(mutex_);
     if (silent)
@@ -206,25 +207,25 @@
         leader_.clear();
         leaderless_since_ = std::chrono::steady_clock::now();
     }
-    searching_wanted_ = true;
-    search_wanted_.notify_all();
+    search_requested_ = true;
+    search_signal_.notify_all();
 }
 
 // The lock is held. Of many calls that fail on one connection only the first makes a new one.
-void leader_link::replace_channel(const control_channel& over)
+void leader_client::replace_channel(const control_channel& over)
 {
     const auto found = channels_.find(over.address());
     if (found == channels_.end() || found->second.get() != &over)
     {
         return;
     }
-    if (channel_paces_[over.address()].may_replace(std::chrono::steady_clock::now(), over.answered()))
+    if (reconnect_backoffs_[over.address()].may_reconnect(std::chrono::steady_clock::now(), over.answered()))
     {
         channels_.erase(found);
     }
 }
 
-std::shared_ptr<control_channel> leader_link::channel(const std::string& address)
+std::shared_ptr<control_channel> leader_client::channel(const std::string& address)
 {
     const std::lock_guard lock(mutex_);
     std::shared_ptr<control_channel>& found = channels_[address];
@@ -237,43 +238,43 @@
 
 // ---- access ------------------------------------------------------------------------------------
 
-std::optional<time_point> leader_link::last_contact() const
+std::optional<time_point> leader_client::last_contact() const
 {
     const std::lock_guard lock(mutex_);
     return last_contact_;
 }
 
-std::string leader_link::leader() const
+std::string leader_client::leader() const
 {
     const std::lock_guard lock(mutex_);
     return leader_;
 }
 
-std::uint64_t leader_link::leader_term() const
+std::uint64_t leader_client::leader_term() const
 {
     const std::lock_guard lock(mutex_);
     return leader_.empty() ? 0 : term_;
 }
 
-std::vector<std::string> leader_link::known() const
+std::vector<std::string> leader_client::known_addresses() const
 {
     const std::lock_guard lock(mutex_);
-    return known_;
+    return addresses_;
 }
 
-void leader_link::learn(const std::vector<std::string>& addresses)
+void leader_client::add_addresses(const std::vector<std::string>& addresses)
 {
     const std::lock_guard lock(mutex_);
     for (const std::string& one : addresses)
     {
-        if (one != self_ && std::find(known_.begin(), known_.end(), one) == known_.end())
+        if (one != self_ && std::find(addresses_.begin(), addresses_.end(), one) == addresses_.end())
         {
-            known_.push_back(one);
+            addresses_.push_back(one);
         }
     }
 }
 
-void leader_link::note_leader(const std::string& address, std::uint64_t term)
+void leader_client::set_leader(const std::string& address, std::uint64_t term)
 {
     const std::lock_guard lock(mutex_);
     if (term < term_)
@@ -288,27 +289,27 @@
     }
     leader_ = address;
     term_ = term;
-    search_pace_.found();
+    search_backoff_.found();
     last_contact_ = std::chrono::steady_clock::now();
-    searching_wanted_ = false;
-    changed_.notify_all();
+    search_requested_ = false;
+    leader_changed_.notify_all();
 }
 
 // ---- the search --------------------------------------------------------------------------------
 
-void leader_link::watch()
+void leader_client::run_poll_loop()
 {
     while (true)
     {
         bool lost = false;
         {
             std::unique_lock lock(mutex_);
-            search_wanted_.wait_for(lock,
-                                    leader_.empty() && !searching_wanted_ ? next_search_pause()
-                                                                          : duration(watch_interval),
+            search_signal_.wait_for(lock,
+                                    leader_.empty() && !search_requested_ ? next_search_pause()
+                                                                          : duration(poll_interval),
                                     [this]
                                     {
-                                        return stopping_ || searching_wanted_;
+                                        return stopping_ || search_requested_;
                                     });
             if (stopping_)
             {
@@ -316,7 +317,7 @@
             }
             lost = leader_.empty();
         }
-        if (!lost && ask_leader())
+        if (!lost && poll_leader())
         {
             continue;
         }
@@ -324,12 +325,12 @@
     }
 }
 
-duration leader_link::next_search_pause()
+duration leader_client::next_search_pause()
 {
-    return search_pace_.next(std::uniform_real_distribution<double>(0, 1)(random_));
+    return search_backoff_.next(std::uniform_real_distribution<double>(0, 1)(random_));
 }
 
-bool leader_link::ask_leader()
+bool leader_client::poll_leader()
 {
     const std::string address = leader();
     if (address.empty())
@@ -338,28 +339,28 @@
     }
     const std::shared_ptr<control_channel> to = channel(address);
     grpc::ClientContext context;
-    set_limit(context, ask_limit);
+    set_timeout(context, query_timeout);
     wire::LeaderQuery query;
     wire::LeaderAnswer answer;
     const grpc::Status status = to->stub().Leader(&context, query, &answer);
-    note_ended(*to, status.ok(), status.error_code() == grpc::StatusCode::DEADLINE_EXCEEDED);
+    record_call(*to, status.ok(), status.error_code() == grpc::StatusCode::DEADLINE_EXCEEDED);
     if (!status.ok() || !answer.acting())
     {
         logging::write(logging::event("link", "leader_lost", "The leader doesn't answer as one any more.")
                            .with("leader", address)
                            .with("error", status.error_message()));
-        doubt(*to, status.error_code() == grpc::StatusCode::DEADLINE_EXCEEDED);
+        report_failure(*to, status.error_code() == grpc::StatusCode::DEADLINE_EXCEEDED);
         return false;
     }
-    learn({answer.members().begin(), answer.members().end()});
-    note_leader(address, answer.term());
+    add_addresses({answer.members().begin(), answer.members().end()});
+    set_leader(address, answer.term());
     return true;
 }
 
-/// @brief One question of a search; lives until its answer or limit.
-struct leader_link::question
+/// @brief One leader_query of a search; lives until its answer or limit.
+struct leader_client::leader_query
 {
-    std::shared_ptr<gathering> all;
+    std::shared_ptr<query_batch> all;
     std::shared_ptr<control_channel> to;
     grpc::ClientContext context;
     wire::LeaderQuery query;
@@ -374,8 +375,8 @@
     }
 };
 
-/// @brief Waits for all questions of one search, or for the first that found the leader.
-struct leader_link::gathering
+/// @brief Waits for all queries of one search, or for the first that found the leader.
+struct leader_client::query_batch
 {
     std::mutex mutex;
     std::condition_variable ended;
@@ -383,46 +384,46 @@
     bool found = false;
 };
 
-void leader_link::search()
+void leader_client::search()
 {
     {
         const std::lock_guard lock(mutex_);
-        searching_wanted_ = false;
+        search_requested_ = false;
     }
-    learn(seeds_());
-    const std::vector<std::string> addresses = known();
-    const auto all = std::make_shared<gathering>();
+    add_addresses(seeds_());
+    const std::vector<std::string> addresses = known_addresses();
+    const auto all = std::make_shared<query_batch>();
     all->open = addresses.size();
-    forget_questions(std::chrono::steady_clock::now() - keep_questions);
-    std::vector<std::shared_ptr<question>> questions;
-    questions.reserve(addresses.size());
+    drop_queries(std::chrono::steady_clock::now() - query_retention);
+    std::vector<std::shared_ptr<leader_query>> queries;
+    queries.reserve(addresses.size());
     for (const std::string& address : addresses)
     {
-        questions.push_back(ask(address, all));
+        queries.push_back(send_query(address, all));
     }
-    questions_.insert(questions_.end(), questions.begin(), questions.end());
+    queries_.insert(queries_.end(), queries.begin(), queries.end());
     std::unique_lock lock(all->mutex);
     while (!stopping_ && all->open > 0 && !all->found)
     {
         all->ended.wait_for(lock, stop_check_interval);
     }
-    for (const std::shared_ptr<question>& one : questions)
+    for (const std::shared_ptr<leader_query>& one : queries)
     {
         if (one->done)
         {
-            take_answer(*one);
+            process_answer(*one);
         }
     }
 }
 
-std::shared_ptr<leader_link::question> leader_link::ask(const std::string& address,
-                                                        const std::shared_ptr<gathering>& all)
+std::shared_ptr<leader_client::leader_query>
+leader_client::send_query(const std::string& address, const std::shared_ptr<query_batch>& all)
 {
-    auto one = std::make_shared<question>();
+    auto one = std::make_shared<leader_query>();
     one->all = all;
     one->to = channel(address);
     one->asked_at = std::chrono::steady_clock::now();
-    set_limit(one->context, ask_limit);
+    set_timeout(one->context, query_timeout);
     one->to->stub().async()->Leader(&one->context,
                                     &one->query,
                                     &one->answer,
@@ -438,24 +439,24 @@
     return one;
 }
 
-void leader_link::forget_questions(time_point asked_before)
+void leader_client::drop_queries(time_point asked_before)
 {
-    std::erase_if(questions_,
-                  [asked_before](const std::shared_ptr<question>& one)
+    std::erase_if(queries_,
+                  [asked_before](const std::shared_ptr<leader_query>& one)
                   {
                       return one->asked_at < asked_before;
                   });
 }
 
 // Their answers are written by gRPC's threads, which must be done with them before this object ends.
-void leader_link::cancel_questions()
+void leader_client::cancel_queries()
 {
-    for (const std::shared_ptr<question>& one : questions_)
+    for (const std::shared_ptr<leader_query>& one : queries_)
     {
         one->context.TryCancel();
     }
-    const time_point limit = std::chrono::steady_clock::now() + ask_limit;
-    for (const std::shared_ptr<question>& one : questions_)
+    const time_point limit = std::chrono::steady_clock::now() + query_timeout;
+    for (const std::shared_ptr<leader_query>& one : queries_)
     {
         std::unique_lock lock(one->all->mutex);
         one->all->ended.wait_until(lock,
@@ -467,10 +468,10 @@
     }
 }
 
-void leader_link::take_answer(const question& ended)
+void leader_client::process_answer(const leader_query& ended)
 {
     const bool timed_out = ended.status.error_code() == grpc::StatusCode::DEADLINE_EXCEEDED;
-    note_ended(*ended.to, ended.status.ok(), timed_out);
+    record_call(*ended.to, ended.status.ok(), timed_out);
     if (!ended.status.ok())
     {
         const std::lock_guard lock(mutex_);
@@ -480,10 +481,10 @@
         }
         return;
     }
-    learn({ended.answer.members().begin(), ended.answer.members().end()});
+    add_addresses({ended.answer.members().begin(), ended.answer.members().end()});
     if (ended.found_leader())
     {
-        note_leader(ended.to->address(), ended.answer.term());
+        set_leader(ended.to->address(), ended.answer.term());
         return;
     }
     hint(ended.answer.leader_address());
--- a/src/job_server/worker_caller.cpp
+++ b/src/job_server/worker_client.cpp
@@ -1,4 +1,4 @@
-#include "plumspoke/job_server/worker_caller.hpp"
+#include "plumspoke/job_server/worker_client.hpp"
 
 #include "plumspoke/job_server/order_queue.hpp"
 #include "plumspoke/metrics/thread_meter.hpp"
@@ -21,18 +21,18 @@
 namespace beast = boost::beast;
 using tcp = boost::asio::ip::tcp;
 
-constexpr auto order_limit = milliseconds(700); // an answer takes a few ms; the way there and back 8
+constexpr auto order_timeout = milliseconds(700); // an answer takes a few ms; the way there and back 8
 // Two polls in a row may meet silent connections before a lease of 4 s is renewed that was given a poll
 // earlier: 1 s + (1 s + 0.7 s) + 0.5 s and the pauses between leave 0.6 s. The second poll doesn't wait.
-constexpr auto poll_slack = order_limit; // on top of the wait that a poll asks for
-constexpr auto short_poll_limit = milliseconds(500);
+constexpr auto poll_margin = order_timeout; // on top of the wait that a poll asks for
+constexpr auto short_poll_timeout = milliseconds(500);
 // A limit that itself runs so late says that this thread is late, not the worker.
-constexpr auto late_limit = milliseconds(50);
+constexpr auto late_threshold = milliseconds(50);
 // Then the call has this much longer, once: time to read some 500 answers that are there.
-constexpr auto late_grace = milliseconds(250);
-constexpr auto idle_limit = seconds(30);
-constexpr auto crowded_idle_limit = milliseconds(500); // where descriptors run short
-constexpr std::size_t largest_answer = 8U << 20U;
+constexpr auto late_extension = milliseconds(250);
+constexpr auto idle_timeout = seconds(30);
+constexpr auto crowded_idle_timeout = milliseconds(500); // where descriptors run short
+constexpr std::size_t max_response_bytes = 8U << 20U;
 
 std::optional<tcp::endpoint> parse_address(const std::string& address)
 {
@@ -75,7 +75,7 @@
 }
 
 /// @brief Whether an order changes nothing at whoever answers it.
-bool only_asks(const dispatch::order& what)
+bool is_read_only(const dispatch::order& what)
 {
     const auto* hold = std::get_if<dispatch::hold_order>(&what);
     return hold != nullptr && !hold->lease_until_ms.has_value() && hold->ends_noted == 0;
@@ -84,13 +84,13 @@
 /// @brief Whether an order may go to whatever life answers.
 /// @note A stop has no effect on a life that doesn't know the run; polls, which name the life, tell its
 /// effect.
-bool suits_any_life(const dispatch::order& what)
+bool is_valid_for_any_incarnation(const dispatch::order& what)
 {
-    return only_asks(what) || std::holds_alternative<dispatch::stop_order>(what);
+    return is_read_only(what) || std::holds_alternative<dispatch::stop_order>(what);
 }
 
 /// @brief Whether a stop makes a start void.
-bool makes_void(const dispatch::order& stopping, const dispatch::order& starting)
+bool cancels_start(const dispatch::order& stopping, const dispatch::order& starting)
 {
     const auto* stop = std::get_if<dispatch::stop_order>(&stopping);
     const auto* start = std::get_if<dispatch::start_order>(&starting);
@@ -98,7 +98,7 @@
 }
 
 /// @brief What asks the recipient of an order for its lists, and with them for its time of birth.
-dispatch::hold_order question_to(const dispatch::order& what)
+dispatch::hold_order make_identity_query(const dispatch::order& what)
 {
     return std::visit(
         [](const auto& one)
@@ -111,43 +111,44 @@
         what);
 }
 
-milliseconds limit_of(const dispatch::order& what)
+milliseconds timeout_of(const dispatch::order& what)
 {
     const auto* hold = std::get_if<dispatch::hold_order>(&what);
     if (hold == nullptr)
     {
-        return order_limit;
+        return order_timeout;
     }
-    return hold->wait_ms > 0 ? milliseconds(hold->wait_ms) + poll_slack : short_poll_limit;
+    return hold->wait_ms > 0 ? milliseconds(hold->wait_ms) + poll_margin : short_poll_timeout;
 }
 
 } // namespace
 
 /// @brief One connection: one exchange at a time, the next ones wait.
-class worker_caller::connection : public std::enable_shared_from_this<connection>
+class worker_client::connection : public std::enable_shared_from_this<connection>
 {
   public:
-    connection(worker_caller& owner, const dispatch::recipient& to)
-        : owner_(&owner), to_(to), stream_(owner.context_), limit_timer_(owner.context_)
+    connection(worker_client& owner, const dispatch::recipient& to)
+        : owner_(&owner), to_(to), stream_(owner.context_), timeout_timer_(owner.context_)
     {
     }
 
     void send(dispatch::order what)
     {
         used_at_ = std::chrono::steady_clock::now();
-        withdrawn_ = withdrawn_ || (busy_ && !written_ && makes_void(what, current_->what));
+        order_cancelled_ =
+            order_cancelled_ || (in_flight_ && !order_written_ && cancels_start(what, current_->what));
         for (dispatch::order& dropped : waiting_.push(std::move(what)))
         {
-            owner_->answer_unsent(std::move(dropped));
+            owner_->fail_unsent(std::move(dropped));
         }
-        if (!busy_)
+        if (!in_flight_)
         {
             next();
         }
     }
 
     /// @brief Forgets the owner: nothing is answered any more.
-    void abandon()
+    void detach()
     {
         owner_ = nullptr;
         waiting_.clear();
@@ -156,7 +157,7 @@
 
     [[nodiscard]] bool idle_since(time_point before) const noexcept
     {
-        return !busy_ && used_at_ < before;
+        return !in_flight_ && used_at_ < before;
     }
 
   private:
@@ -166,15 +167,15 @@
         {
             return;
         }
-        busy_ = true;
-        written_ = false;
-        withdrawn_ = false;
+        in_flight_ = true;
+        order_written_ = false;
+        order_cancelled_ = false;
         current_.emplace();
         current_->what = waiting_.pop();
         current_->sent_at = std::chrono::steady_clock::now();
-        if (open_)
+        if (is_open_)
         {
-            begin();
+            send_current();
             return;
         }
         const std::optional<tcp::endpoint> to = parse_address(to_.address);
@@ -183,48 +184,48 @@
             finish({});
             return;
         }
-        limit_exchange(order_limit);
+        start_timeout(order_timeout);
         stream_.async_connect(*to,
                               [self = shared_from_this()](boost::system::error_code error)
                               {
-                                  self->connected(error);
+                                  self->on_connected(error);
                               });
     }
 
     /// @brief Closes the connection where an exchange takes longer.
-    void limit_exchange(milliseconds limit)
+    void start_timeout(milliseconds limit)
     {
         timed_out_ = false;
         extended_ = false;
-        limit_timer_.expires_after(limit);
-        wait_for_limit();
+        timeout_timer_.expires_after(limit);
+        wait_for_timeout();
     }
 
-    void wait_for_limit()
+    void wait_for_timeout()
     {
-        limit_timer_.async_wait(
+        timeout_timer_.async_wait(
             [self = shared_from_this()](boost::system::error_code cancelled)
             {
                 if (!cancelled)
                 {
-                    self->limit_reached(std::chrono::steady_clock::now());
+                    self->on_timeout(std::chrono::steady_clock::now());
                 }
             });
     }
 
-    void limit_reached(time_point now)
+    void on_timeout(time_point now)
     {
-        if (!busy_ || now < limit_timer_.expiry())
+        if (!in_flight_ || now < timeout_timer_.expiry())
         {
             return; // it was on its way as its exchange ended
         }
         // Expired limits run before the answers of most sockets are read: a late thread would take each of
         // these workers for silent, and connect to all of them again.
-        if (now > limit_timer_.expiry() + late_limit && !extended_)
+        if (now > timeout_timer_.expiry() + late_threshold && !extended_)
         {
             extended_ = true;
-            limit_timer_.expires_after(late_grace);
-            wait_for_limit();
+            timeout_timer_.expires_after(late_extension);
+            wait_for_timeout();
             return;
         }
         timed_out_ = true;
@@ -232,7 +233,7 @@
         stream_.socket().close(ignored);
     }
 
-    void connected(boost::system::error_code failed)
+    void on_connected(boost::system::error_code failed)
     {
         if (failed)
         {
@@ -240,21 +241,22 @@
             finish({});
             return;
         }
-        open_ = true;
+        is_open_ = true;
         boost::system::error_code ignored; // without it only small orders are slower
         stream_.socket().set_option(tcp::no_delay(true), ignored);
-        begin();
+        send_current();
     }
 
-    void begin()
+    void send_current()
     {
-        if (withdrawn_)
+        if (order_cancelled_)
         {
             finish({});
             return;
         }
-        asking_ = to_.worker.born_ms != 0 && !is_known_life_ && !suits_any_life(current_->what);
-        write(asking_ ? dispatch::order(question_to(current_->what)) : current_->what);
+        verifying_incarnation_ = to_.worker.born_ms != 0 && !incarnation_verified_ &&
+                                 !is_valid_for_any_incarnation(current_->what);
+        write(verifying_incarnation_ ? dispatch::order(make_identity_query(current_->what)) : current_->what);
     }
 
     void write(const dispatch::order& what)
@@ -263,45 +265,45 @@
         {
             return;
         }
-        written_ = !asking_;
+        order_written_ = !verifying_incarnation_;
         const metrics::measured_part writing(metrics::loop_part::write_order);
         request_ = to_text(owner_->protocol_.write(what), to_.address);
         // Counted from here: where this thread is late, a connection that is long open would use the limit
         // up.
-        limit_exchange(limit_of(what));
+        start_timeout(timeout_of(what));
         boost::asio::async_write(stream_.socket(),
                                  boost::asio::buffer(request_),
                                  [self = shared_from_this()](boost::system::error_code error, std::size_t)
                                  {
-                                     self->written(error);
+                                     self->on_written(error);
                                  });
     }
 
-    void written(boost::system::error_code failed)
+    void on_written(boost::system::error_code failed)
     {
         if (failed)
         {
-            note_silent();
+            count_silent_call();
             close();
             finish({});
             return;
         }
         parser_.emplace();
-        parser_->body_limit(largest_answer);
+        parser_->body_limit(max_response_bytes);
         beast::http::async_read(stream_,
                                 buffer_,
                                 *parser_,
                                 [self = shared_from_this()](boost::system::error_code error, std::size_t)
                                 {
-                                    self->received(error);
+                                    self->on_received(error);
                                 });
     }
 
-    void received(boost::system::error_code failed)
+    void on_received(boost::system::error_code failed)
     {
         if (failed)
         {
-            note_silent();
+            count_silent_call();
             close();
             finish({});
             return;
@@ -309,7 +311,7 @@
         http::response plain;
         plain.status = static_cast<int>(parser_->get().result_int());
         plain.body = std::move(parser_->get().body());
-        answered_ = true;
+        has_answered_ = true;
         if (!parser_->get().keep_alive())
         {
             close();
@@ -318,33 +320,35 @@
         {
             return;
         }
-        const dispatch::worker_answer got = check_life(read_answer(plain));
-        if (asking_ && got.how == dispatch::reply::done && open_ && !withdrawn_)
+        const dispatch::worker_answer got = verify_incarnation(read_answer(plain));
+        if (verifying_incarnation_ && got.how == dispatch::reply::done && is_open_ && !order_cancelled_)
         {
-            asking_ = false;
+            verifying_incarnation_ = false;
             write(current_->what);
             return;
         }
-        finish(asking_ && got.how == dispatch::reply::done ? dispatch::worker_answer() : got);
+        finish(verifying_incarnation_ && got.how == dispatch::reply::done ? dispatch::worker_answer() : got);
     }
 
     [[nodiscard]] dispatch::worker_answer read_answer(const http::response& plain) const
     {
         const metrics::measured_part reading(metrics::loop_part::read_answer);
-        return owner_->protocol_.read(asking_ ? dispatch::order(question_to(current_->what)) : current_->what,
-                                      plain);
+        return owner_->protocol_.read(
+            verifying_incarnation_ ? dispatch::order(make_identity_query(current_->what)) : current_->what,
+            plain);
     }
 
     /// @brief Learns whose connection it is from an answer that tells a time of birth.
-    [[nodiscard]] dispatch::worker_answer check_life(dispatch::worker_answer got)
+    [[nodiscard]] dispatch::worker_answer verify_incarnation(dispatch::worker_answer got)
     {
-        const bool is_list = asking_ || std::holds_alternative<dispatch::hold_order>(current_->what);
+        const bool is_list =
+            verifying_incarnation_ || std::holds_alternative<dispatch::hold_order>(current_->what);
         if (to_.worker.born_ms == 0 || !is_list || got.how != dispatch::reply::done)
         {
             return got;
         }
-        is_known_life_ = got.born_ms.value_or(to_.worker.born_ms) == to_.worker.born_ms;
-        if (is_known_life_)
+        incarnation_verified_ = got.born_ms.value_or(to_.worker.born_ms) == to_.worker.born_ms;
+        if (incarnation_verified_)
         {
             return got;
         }
@@ -354,9 +358,9 @@
         return other;
     }
 
-    void note_silent()
+    void count_silent_call()
     {
-        if (owner_ == nullptr || !answered_ || !timed_out_)
+        if (owner_ == nullptr || !has_answered_ || !timed_out_)
         {
             return;
         }
@@ -368,14 +372,14 @@
     {
         const dispatch::sent_order ended = std::move(*current_);
         current_.reset();
-        busy_ = false;
-        limit_timer_.cancel();
+        in_flight_ = false;
+        timeout_timer_.cancel();
         if (owner_ == nullptr)
         {
             return;
         }
         owner_->handle_(ended, got);
-        if (!busy_)
+        if (!in_flight_)
         {
             next();
         }
@@ -387,46 +391,46 @@
         boost::system::error_code ignored; // closed is closed
         stream_.socket().close(ignored);
         buffer_.clear();
-        open_ = false;
-        answered_ = false;
-        is_known_life_ = false;
+        is_open_ = false;
+        has_answered_ = false;
+        incarnation_verified_ = false;
     }
 
-    worker_caller* owner_;
+    worker_client* owner_;
     dispatch::recipient to_;
     beast::tcp_stream stream_;
-    boost::asio::steady_timer limit_timer_;
+    boost::asio::steady_timer timeout_timer_;
     beast::flat_buffer buffer_;
     std::string request_; // as it is sent
     std::optional<beast::http::response_parser<beast::http::string_body>> parser_;
     order_queue waiting_;
     std::optional<dispatch::sent_order> current_;
     time_point used_at_{};
-    bool busy_ = false;
-    bool open_ = false;
+    bool in_flight_ = false;
+    bool is_open_ = false;
     bool timed_out_ = false;
-    bool extended_ = false;      // the present exchange had its late_grace
-    bool answered_ = false;      // on this connection
-    bool is_known_life_ = false; // this connection ends at the life that it is for
-    bool asking_ = false;        // which life it is, before the present order
-    bool written_ = false;       // the present order itself
-    bool withdrawn_ = false;     // the present order was made void before it was written
+    bool extended_ = false;              // the present exchange had its late_extension
+    bool has_answered_ = false;          // on this connection
+    bool incarnation_verified_ = false;  // this connection ends at the life that it is for
+    bool verifying_incarnation_ = false; // which life it is, before the present order
+    bool order_written_ = false;         // the present order itself
+    bool order_cancelled_ = false;       // the present order was made void before it was written
 };
 
-worker_caller::worker_caller(boost::asio::io_context& context,
+worker_client::worker_client(boost::asio::io_context& context,
                              const protocol::worker_protocol& protocol,
                              answer_handler handle,
-                             std::size_t most_connections)
-    : context_(context), protocol_(protocol), handle_(std::move(handle)), most_connections_(most_connections)
+                             std::size_t max_connections)
+    : context_(context), protocol_(protocol), handle_(std::move(handle)), max_connections_(max_connections)
 {
 }
 
-worker_caller::~worker_caller()
+worker_client::~worker_client()
 {
     reset();
 }
 
-void worker_caller::send(dispatch::order what)
+void worker_client::send(dispatch::order what)
 {
     const bool poll = std::holds_alternative<dispatch::hold_order>(what);
     const dispatch::recipient& recipient = std::visit(
@@ -435,18 +439,19 @@
             return one.to;
         },
         what);
-    const std::shared_ptr<connection> to = find_or_open(poll ? polls_ : orders_, recipient);
+    const std::shared_ptr<connection> to =
+        find_or_open(poll ? poll_connections_ : order_connections_, recipient);
     if (to == nullptr)
     {
         ++without_connection_;
-        answer_unsent(std::move(what));
+        fail_unsent(std::move(what));
         return;
     }
     to->send(std::move(what));
 }
 
 // By life: a new one at an old address doesn't wait behind calls that hang on the old one's connection.
-std::shared_ptr<worker_caller::connection> worker_caller::find_or_open(connections_by_life& among,
+std::shared_ptr<worker_client::connection> worker_client::find_or_open(connections_by_life& among,
                                                                        const dispatch::recipient& to)
 {
     const auto found = among.find(to.worker);
@@ -454,7 +459,7 @@
     {
         return found->second;
     }
-    if (!make_room())
+    if (!ensure_capacity())
     {
         return nullptr;
     }
@@ -464,25 +469,25 @@
     return added;
 }
 
-void worker_caller::count_connections() noexcept
+void worker_client::count_connections() noexcept
 {
-    open_connections_ = polls_.size() + orders_.size();
+    open_connections_ = poll_connections_.size() + order_connections_.size();
 }
 
 // Load that it answers: a fleet with more workers than descriptors, or lives that follow one another fast.
 // With none left a process can't be reached by its peers any more, which costs more than a few orders that
 // wait.
-bool worker_caller::make_room()
+bool worker_client::ensure_capacity()
 {
-    if (most_connections_ == 0 || connections() < most_connections_)
+    if (max_connections_ == 0 || connections() < max_connections_)
     {
         return true;
     }
-    expire_idle(std::chrono::steady_clock::now() - crowded_idle_limit);
-    return connections() < most_connections_;
+    expire_idle(std::chrono::steady_clock::now() - crowded_idle_timeout);
+    return connections() < max_connections_;
 }
 
-void worker_caller::answer_unsent(dispatch::order what)
+void worker_client::fail_unsent(dispatch::order what)
 {
     boost::asio::post(context_,
                       [this,
@@ -496,28 +501,28 @@
                       });
 }
 
-void worker_caller::reset()
+void worker_client::reset()
 {
     ++resets_;
-    for (auto* all : {&polls_, &orders_})
+    for (auto* all : {&poll_connections_, &order_connections_})
     {
         for (auto& [address, one] : *all)
         {
-            one->abandon();
+            one->detach();
         }
         all->clear();
     }
     count_connections();
 }
 
-void worker_caller::expire(time_point now)
+void worker_client::expire(time_point now)
 {
-    expire_idle(now - idle_limit);
+    expire_idle(now - idle_timeout);
 }
 
-void worker_caller::expire_idle(time_point before)
+void worker_client::expire_idle(time_point before)
 {
-    for (auto* all : {&polls_, &orders_})
+    for (auto* all : {&poll_connections_, &order_connections_})
     {
         std::erase_if(*all,
                       [before](const auto& entry)
--- a/src/jobs/codec.cpp
+++ b/src/jobs/codec.cpp
@@ -96,7 +96,7 @@
     {
         wire::SubmitJob& to = *out.mutable_submit();
         to.set_id(value.id.text());
-        *to.mutable_queue() = jobs::to_wire(value.taken_from);
+        *to.mutable_queue() = jobs::to_wire(value.source_queue);
         *to.mutable_spec() = jobs::to_wire(value.spec);
         to.set_at_ms(value.at_ms);
     }
@@ -216,7 +216,7 @@
 {
     wire::JobRecord out;
     out.set_id(value.id.text());
-    *out.mutable_queue() = jobs::to_wire(value.taken_from);
+    *out.mutable_queue() = jobs::to_wire(value.source_queue);
     *out.mutable_spec() = jobs::to_wire(value.spec);
     out.set_phase(static_cast<std::uint32_t>(value.phase));
     out.set_granted(value.granted);
@@ -249,7 +249,7 @@
 {
     job out;
     out.id = value.id();
-    out.taken_from = jobs::from_wire(value.queue());
+    out.source_queue = jobs::from_wire(value.queue());
     out.spec = jobs::from_wire(value.spec());
     out.phase = static_cast<job_phase>(value.phase());
     out.granted = value.granted();
@@ -279,7 +279,7 @@
 
 } // namespace
 
-wire::Room to_wire(const room& value)
+wire::Room to_wire(const resources& value)
 {
     wire::Room out;
     out.set_cpu_milli(static_cast<std::uint32_t>(value.cpu_milli));
@@ -288,7 +288,7 @@
     return out;
 }
 
-room from_wire(const wire::Room& value)
+resources from_wire(const wire::Room& value)
 {
     return {value.cpu_milli(), value.memory_mb(), value.accelerators()};
 }
@@ -423,7 +423,7 @@
     return std::nullopt;
 }
 
-std::string encode_answer(const answer& value)
+std::string encode_answer(const command_answer& value)
 {
     wire::JobAnswer out;
     out.set_outcome(static_cast<std::uint32_t>(value.result));
@@ -434,10 +434,10 @@
     return out.SerializeAsString();
 }
 
-answer decode_answer(std::string_view bytes)
+command_answer decode_answer(std::string_view bytes)
 {
     wire::JobAnswer in;
-    answer out;
+    command_answer out;
     if (!in.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
     {
         out.result = outcome::invalid;
@@ -477,7 +477,7 @@
 {
     jobs_.clear();
     live_.clear();
-    leftover_.clear();
+    ended_with_runs_.clear();
     early_cancels_.clear();
     learned_.clear();
     configuration_ = {};
@@ -499,12 +499,12 @@
         }
         else
         {
-            note_leftover(added);
+            update_ended_with_runs(added);
         }
     }
     for (const wire::LearnedEffect& one : in.learned())
     {
-        learn(from_wire(one));
+        record_effect(from_wire(one));
     }
     for (const wire::EarlyCancel& one : in.early_cancels())
     {
--- a/src/jobs/machine.cpp
+++ b/src/jobs/job_state_machine.cpp
@@ -1,4 +1,4 @@
-#include "plumspoke/jobs/machine.hpp"
+#include "plumspoke/jobs/job_state_machine.hpp"
 
 #include "plumspoke/error/assert.hpp"
 #include "plumspoke/jobs/codec.hpp"
@@ -6,27 +6,27 @@
 namespace plumspoke::jobs
 {
 
-std::string machine::apply(replica::log_index /*index*/, std::string_view bytes)
+std::string job_state_machine::apply(replica::log_index /*index*/, std::string_view bytes)
 {
     const std::optional<command> value = decode(bytes);
     const std::lock_guard lock(mutex_);
-    return apply_held(value);
+    return apply_locked(value);
 }
 
-std::string machine::save() const
+std::string job_state_machine::save() const
 {
     const std::lock_guard lock(mutex_);
     return store_.save();
 }
 
-void machine::restore(std::string_view saved)
+void job_state_machine::restore(std::string_view saved)
 {
     const std::lock_guard lock(mutex_);
-    restore_held(saved);
+    restore_locked(saved);
 }
 
 std::optional<std::string>
-machine::try_apply(replica::log_index /*index*/, std::string_view bytes, duration limit)
+job_state_machine::try_apply(replica::log_index /*index*/, std::string_view bytes, duration limit)
 {
     const std::optional<command> value = decode(bytes);
     const std::unique_lock lock(mutex_, limit);
@@ -34,10 +34,10 @@
     {
         return std::nullopt;
     }
-    return apply_held(value);
+    return apply_locked(value);
 }
 
-std::optional<std::string> machine::try_save(duration limit) const
+std::optional<std::string> job_state_machine::try_save(duration limit) const
 {
     const std::unique_lock lock(mutex_, limit);
     if (!lock.owns_lock())
@@ -47,18 +47,18 @@
     return store_.save();
 }
 
-bool machine::try_restore(std::string_view saved, duration limit)
+bool job_state_machine::try_restore(std::string_view saved, duration limit)
 {
     const std::unique_lock lock(mutex_, limit);
     if (!lock.owns_lock())
     {
         return false;
     }
-    restore_held(saved);
+    restore_locked(saved);
     return true;
 }
 
-std::string machine::apply_held(const std::optional<command>& value)
+std::string job_state_machine::apply_locked(const std::optional<command>& value)
 {
     if (!value.has_value())
     {
@@ -67,7 +67,7 @@
     return encode_answer(store_.apply(*value));
 }
 
-void machine::restore_held(std::string_view saved)
+void job_state_machine::restore_locked(std::string_view saved)
 {
     const bool readable = store_.restore(saved);
     PLUMSPOKE_ASSERT(readable); // its check sum was right, so only a wrong version could do this
--- a/src/jobs/model.cpp
+++ b/src/jobs/model.cpp
@@ -13,26 +13,26 @@
 constexpr std::size_t max_steps = 1'000;
 constexpr std::uint32_t max_repeats = 100'000;
 
-std::string in_step(std::size_t index, std::string_view what)
+std::string step_error(std::size_t index, std::string_view what)
 {
     return "step " + std::to_string(index) + ": " + std::string(what);
 }
 
-std::optional<std::string> find_step_fault(const step_spec& step, std::size_t index)
+std::optional<std::string> find_step_error(const step_spec& step, std::size_t index)
 {
     if (step.task_count == 0 || step.task_count > max_tasks_per_step)
     {
-        return in_step(index, "its number of tasks must be 1 to " + std::to_string(max_tasks_per_step));
+        return step_error(index, "its number of tasks must be 1 to " + std::to_string(max_tasks_per_step));
     }
     if (step.needs.cpu_milli < 0 || step.needs.memory_mb < 0 || step.needs.accelerators < 0)
     {
-        return in_step(index, "its needs must not be negative");
+        return step_error(index, "its needs must not be negative");
     }
     for (const std::uint32_t earlier : step.after)
     {
         if (earlier >= index)
         {
-            return in_step(index, "it may only wait for earlier steps");
+            return step_error(index, "it may only wait for earlier steps");
         }
     }
     return std::nullopt;
@@ -40,7 +40,7 @@
 
 } // namespace
 
-room& room::operator+=(const room& other) noexcept
+resources& resources::operator+=(const resources& other) noexcept
 {
     cpu_milli += other.cpu_milli;
     memory_mb += other.memory_mb;
@@ -48,7 +48,7 @@
     return *this;
 }
 
-room& room::operator-=(const room& other) noexcept
+resources& resources::operator-=(const resources& other) noexcept
 {
     cpu_milli -= other.cpu_milli;
     memory_mb -= other.memory_mb;
@@ -56,12 +56,12 @@
     return *this;
 }
 
-bool room::fits_into(const room& other) const noexcept
+bool resources::fits_into(const resources& other) const noexcept
 {
     return cpu_milli <= other.cpu_milli && memory_mb <= other.memory_mb && accelerators <= other.accelerators;
 }
 
-std::optional<std::string> find_fault(const job_spec& spec)
+std::optional<std::string> find_spec_error(const job_spec& spec)
 {
     if (spec.steps.empty() || spec.steps.size() > max_steps)
     {
@@ -73,7 +73,7 @@
     }
     for (std::size_t i = 0; i < spec.steps.size(); ++i)
     {
-        if (std::optional<std::string> fault = find_step_fault(spec.steps[i], i))
+        if (std::optional<std::string> fault = find_step_error(spec.steps[i], i))
         {
             return fault;
         }
@@ -106,7 +106,7 @@
                        });
 }
 
-bool job::lasts() const noexcept
+bool job::has_lasting_step() const noexcept
 {
     return std::any_of(spec.steps.begin(),
                        spec.steps.end(),
--- a/src/jobs/store.cpp
+++ b/src/jobs/store.cpp
@@ -9,7 +9,7 @@
 {
 
 // Pairs of images: some 100 KB; the users' services have 45 pairs.
-constexpr std::size_t most_learned = 2000;
+constexpr std::size_t max_learned_effects = 2000;
 constexpr std::size_t max_copies = 2; // a copy for a straggler; a third gains nothing
 
 bool has_runs(const job& one)
@@ -31,7 +31,7 @@
 }
 
 /// @brief Whether only a worker that had begun a run can have told this end of it.
-constexpr bool tells_begun(run_end how) noexcept
+constexpr bool implies_begun(run_end how) noexcept
 {
     return how == run_end::done || how == run_end::failed || how == run_end::broken || how == run_end::alone;
 }
@@ -80,24 +80,25 @@
                                                     [&of](const auto& entry)
                                                     {
                                                         const job& one = *entry.second;
-                                                        return !one.begun && one.taken_from.host == of.host &&
-                                                               one.taken_from.path_prefix == of.path_prefix;
+                                                        return !one.begun &&
+                                                               one.source_queue.host == of.host &&
+                                                               one.source_queue.path_prefix == of.path_prefix;
                                                     }));
 }
 
 // ---- commands ----------------------------------------------------------------------------------
 
-answer store::apply(const command& value)
+command_answer store::apply(const command& value)
 {
     return std::visit(
         [this](const auto& one)
         {
-            return on(one);
+            return apply_command(one);
         },
         value);
 }
 
-answer store::on(const configure& value)
+command_answer store::apply_command(const configure& value)
 {
     if (value.value.version <= configuration_.version)
     {
@@ -108,19 +109,19 @@
     return {outcome::accepted, {}};
 }
 
-answer store::on(const submit& value)
+command_answer store::apply_command(const submit& value)
 {
     if (jobs_.contains(value.id))
     {
         return {outcome::known, {}};
     }
-    if (find_fault(value.spec).has_value())
+    if (find_spec_error(value.spec).has_value())
     {
         return {outcome::invalid, {}};
     }
     job& added = jobs_[value.id];
     added.id = value.id;
-    added.taken_from = value.taken_from;
+    added.source_queue = value.source_queue;
     added.spec = value.spec;
     added.accepted_at_ms = value.at_ms;
     added.order = next_order_;
@@ -129,7 +130,7 @@
     if (early_cancels_.erase(value.id))
     {
         finish(added, job_phase::cancelled, value.at_ms);
-        note_leftover(added);
+        update_ended_with_runs(added);
         return {outcome::accepted, {}};
     }
     if (value.spec.repeat_count == 0)
@@ -140,7 +141,7 @@
     return {outcome::accepted, {}};
 }
 
-answer store::on(const cancel& value)
+command_answer store::apply_command(const cancel& value)
 {
     job* found = find_mutable(value.id);
     if (found == nullptr)
@@ -151,14 +152,14 @@
     if (!is_final(found->phase))
     {
         finish(*found, job_phase::cancelled, value.at_ms);
-        note_leftover(*found);
+        update_ended_with_runs(*found);
     }
     return {outcome::accepted, {}};
 }
 
-answer store::on(const round& value)
+command_answer store::apply_command(const round& value)
 {
-    answer result;
+    command_answer result;
     for (const run_ended& ended : value.ends)
     {
         end_run(ended, value.at_ms);
@@ -180,20 +181,20 @@
     {
         if (job* found = find_mutable(id); found != nullptr)
         {
-            note_begun(*found);
+            mark_begun(*found);
         }
     }
     for (const job_id& id : value.forgotten)
     {
         const job* found = find(id);
-        if (found != nullptr && is_final(found->phase) && !leftover_.contains(id))
+        if (found != nullptr && is_final(found->phase) && !ended_with_runs_.contains(id))
         {
             jobs_.erase(id);
         }
     }
     for (const learned_effect& one : value.learned)
     {
-        learn(one);
+        record_effect(one);
     }
     if (!value.ends.empty() || !value.starts.empty() || !value.due.empty() || !value.forgotten.empty())
     {
@@ -202,10 +203,10 @@
     return result;
 }
 
-void store::learn(const learned_effect& value)
+void store::record_effect(const learned_effect& value)
 {
     learned_[value.images] = value;
-    if (learned_.size() <= most_learned)
+    if (learned_.size() <= max_learned_effects)
     {
         return;
     }
@@ -258,7 +259,7 @@
     return true;
 }
 
-void store::note_begun(job& of)
+void store::mark_begun(job& of)
 {
     of.begun = true;
     if (of.phase == job_phase::queued)
@@ -284,9 +285,9 @@
     {
         return; // counted already
     }
-    if (tells_begun(ended.how))
+    if (implies_begun(ended.how))
     {
-        note_begun(*of);
+        mark_begun(*of);
     }
     const bool was_live = !is_final(of->phase);
     occurrence& at = of->occurrences.at(ended.name.task.occurrence);
@@ -294,7 +295,7 @@
     {
         end_task_run(*of, at, *found, ended);
     }
-    if (was_live && is_spent(*of, at, ended.name.task))
+    if (was_live && fails_job(*of, at, ended.name.task))
     {
         finish(*of, job_phase::failed, at_ms);
     }
@@ -304,7 +305,7 @@
     }
     if (is_final(of->phase))
     {
-        note_leftover(*of);
+        update_ended_with_runs(*of);
     }
 }
 
@@ -313,7 +314,7 @@
     const step_spec& spec = of.spec.steps[ended.name.task.step];
     if (ended.how == run_end::done && !spec.lasting)
     {
-        note_done(of, at, ended);
+        mark_done(of, at, ended);
         return;
     }
     if (ended.how == run_end::failed)
@@ -332,7 +333,7 @@
     }
 }
 
-void store::note_done(job& of, occurrence& at, const run_ended& ended)
+void store::mark_done(job& of, occurrence& at, const run_ended& ended)
 {
     step& in = at.steps[ended.name.task.step];
     const bool gang = of.spec.steps[ended.name.task.step].gang;
@@ -355,7 +356,7 @@
     of.occurrences_done += all ? 1 : 0;
 }
 
-bool store::is_spent(const job& of, const occurrence& at, const task_name& name)
+bool store::fails_job(const job& of, const occurrence& at, const task_name& name)
 {
     const step_spec& spec = of.spec.steps[name.step];
     const step& in = at.steps[name.step];
@@ -366,7 +367,7 @@
     }
     // Only ends "failed" counted once, and a task that crashed its workers never ends so: it was granted
     // again without end.
-    if (ended.evidence.suffices())
+    if (ended.evidence.exceeds_limit())
     {
         return true;
     }
@@ -375,7 +376,7 @@
         return false;
     }
     const std::size_t failures = spec.gang ? in.failed_attempts.size() : ended.failures;
-    return failures >= of.taken_from.max_failures;
+    return failures >= of.source_queue.max_failures;
 }
 
 void store::finish(job& of, job_phase phase, std::int64_t at_ms)
@@ -386,14 +387,14 @@
     ++revision_;
 }
 
-void store::note_leftover(job& of)
+void store::update_ended_with_runs(job& of)
 {
     if (has_runs(of))
     {
-        leftover_.insert(of.id);
+        ended_with_runs_.insert(of.id);
         return;
     }
-    leftover_.erase(of.id);
+    ended_with_runs_.erase(of.id);
     // Only its state is asked for from now on. Kept whole, the jobs of the last minutes are most of a
     // snapshot, and a lost disk comes back after as long as a snapshot's way takes.
     of.spec = {};
--- a/tests/src/dispatcher_fixture.hpp
+++ b/tests/src/dispatcher_fixture.hpp
@@ -29,10 +29,10 @@
     {
         jobs::submit value;
         value.id = id;
-        value.taken_from.priority = priority;
-        value.taken_from.service = "pool";
-        value.taken_from.max_failures = 3;
-        if (step.needs == jobs::room{})
+        value.source_queue.priority = priority;
+        value.source_queue.service = "pool";
+        value.source_queue.max_failures = 3;
+        if (step.needs == jobs::resources{})
         {
             step.needs = {1000, 100, 0};
         }
@@ -52,7 +52,8 @@
     }
 
     /// @brief A life of a worker says what it is; all at one address, whatever their id.
-    fleet::announcement announce_life(const fleet::worker_life& life, std::uint64_t sequence, jobs::room room)
+    fleet::announcement
+    announce_life(const fleet::worker_life& life, std::uint64_t sequence, jobs::resources room)
     {
         fleet::announcement worker;
         worker.life = life;
--- a/tests/src/slow_worker_fixture.hpp
+++ b/tests/src/slow_worker_fixture.hpp
@@ -3,7 +3,7 @@
 /// @file
 /// @brief A worker on loopback that answers late, and a leader's caller whose loop the test runs.
 
-#include "plumspoke/job_server/worker_caller.hpp"
+#include "plumspoke/job_server/worker_client.hpp"
 #include "plumspoke/protocol/protocol.hpp"
 
 #include <array>
@@ -185,7 +185,7 @@
     boost::asio::io_context context;
     kind_protocol translator;
     std::vector<dispatch::reply> answers;
-    job_server::worker_caller caller{context,
+    job_server::worker_client caller{context,
                                      translator,
                                      [this](const dispatch::sent_order&, const dispatch::worker_answer& got)
                                      {
--- a/tests/src/unit-cancel_of_undecided.cpp
+++ b/tests/src/unit-cancel_of_undecided.cpp
@@ -58,7 +58,7 @@
         *request.mutable_spec() = jobs::to_wire(spec);
         request.set_limit_ms(static_cast<std::uint32_t>(limit.count()));
         grpc::ClientContext context;
-        job_server::set_limit(context, call_limit);
+        job_server::set_timeout(context, call_limit);
         wire::JobReply reply;
         REQUIRE(channel_->stub().Submit(&context, request, &reply).ok());
         return static_cast<jobs::outcome>(reply.outcome());
@@ -67,7 +67,7 @@
     [[nodiscard]] jobs::outcome cancel(const std::string& id)
     {
         grpc::ClientContext context;
-        job_server::set_limit(context, call_limit);
+        job_server::set_timeout(context, call_limit);
         wire::JobReply reply;
         REQUIRE(channel_->stub().Cancel(&context, request_of(id), &reply).ok());
         return static_cast<jobs::outcome>(reply.outcome());
@@ -76,7 +76,7 @@
     [[nodiscard]] wire::JobReply state(const std::string& id)
     {
         grpc::ClientContext context;
-        job_server::set_limit(context, call_limit);
+        job_server::set_timeout(context, call_limit);
         wire::JobReply reply;
         REQUIRE(channel_->stub().State(&context, request_of(id), &reply).ok());
         return reply;
@@ -114,7 +114,7 @@
         {
             std::this_thread::sleep_for(milliseconds(50)); // until it leads
             grpc::ClientContext context;
-            job_server::set_limit(context, call_limit);
+            job_server::set_timeout(context, call_limit);
             (void)channel_->stub().Configure(&context, request, &reply);
         }
         REQUIRE(reply.durable());
--- a/tests/src/unit-cancelled_runs.cpp
+++ b/tests/src/unit-cancelled_runs.cpp
@@ -28,7 +28,7 @@
 namespace
 {
 
-constexpr auto exchange_limit = milliseconds(700); // of an order, see worker_caller.cpp
+constexpr auto exchange_limit = milliseconds(700); // of an order, see worker_client.cpp
 
 jobs::step_spec lasting_tasks(std::uint32_t count)
 {
@@ -77,7 +77,7 @@
         }
         f.commit();
         CHECK(f.leader.runs().empty());
-        CHECK(f.state.leftover().empty());
+        CHECK(f.state.ended_with_runs().empty());
     }
 }
 
--- a/tests/src/unit-dispatch_world.cpp
+++ b/tests/src/unit-dispatch_world.cpp
@@ -108,7 +108,7 @@
     const task_outcome seen = world.run(seconds(5));
     CHECK(seen.broken.empty());
     CHECK(seen.cancelled == 1);
-    CHECK(world.state().leftover().empty());
+    CHECK(world.state().ended_with_runs().empty());
 }
 
 TEST_CASE("a job whose task always fails has failed after its budget, and not before")
--- a/tests/src/unit-dispatcher.cpp
+++ b/tests/src/unit-dispatcher.cpp
@@ -493,7 +493,7 @@
     REQUIRE(f.cancels_stopped_ms.size() == 1);
     const auto passed_ms = std::chrono::duration_cast<milliseconds>(f.now - start).count();
     CHECK(f.cancels_stopped_ms[0] == passed_ms - 50);
-    CHECK(f.state.leftover().empty());
+    CHECK(f.state.ended_with_runs().empty());
     f.decide();
     CHECK(f.cancels_stopped_ms.empty()); // once
 }
--- a/tests/src/unit-dispatcher_overload.cpp
+++ b/tests/src/unit-dispatcher_overload.cpp
@@ -19,11 +19,11 @@
 {
     jobs::submit value;
     value.id = id;
-    value.taken_from.name = "queue";
-    value.taken_from.service = "pool";
-    value.taken_from.max_failures = 3;
-    value.taken_from.objective_factor = 2;
-    value.taken_from.objective_extra_ms = 1000;
+    value.source_queue.name = "queue";
+    value.source_queue.service = "pool";
+    value.source_queue.max_failures = 3;
+    value.source_queue.objective_factor = 2;
+    value.source_queue.objective_extra_ms = 1000;
     step.estimate_ms = 1000;
     value.spec.steps.push_back(std::move(step));
     value.at_ms = accepted_at_ms;
--- a/tests/src/unit-jobs_store.cpp
+++ b/tests/src/unit-jobs_store.cpp
@@ -32,9 +32,9 @@
 {
     submit value;
     value.id = id;
-    value.taken_from.host = "h";
-    value.taken_from.path_prefix = "/q/";
-    value.taken_from.max_failures = 2;
+    value.source_queue.host = "h";
+    value.source_queue.path_prefix = "/q/";
+    value.source_queue.max_failures = 2;
     value.spec = std::move(spec);
     value.at_ms = 1000;
     return value;
@@ -202,11 +202,11 @@
     {
         CHECK(of.apply(cancel{"a", 2000}).result == outcome::accepted);
         CHECK(phase() == job_phase::cancelled);
-        CHECK(of.leftover().contains("a"));
+        CHECK(of.ended_with_runs().contains("a"));
         begin(of, "a"); // told late
         CHECK(phase() == job_phase::cancelled);
         end(of, first, 1, run_end::stopped);
-        CHECK(of.leftover().empty());
+        CHECK(of.ended_with_runs().empty());
     }
     SECTION("an end that is told twice counts once")
     {
@@ -328,7 +328,7 @@
     {
         end(of, {"a", 0, 0, 1}, 1, run_end::done);
         CHECK(of.find("a")->phase == job_phase::completed);
-        CHECK(of.leftover().contains("a"));
+        CHECK(of.ended_with_runs().contains("a"));
     }
     SECTION("members that fail together are one failure")
     {
--- a/tests/src/unit-late_starts.cpp
+++ b/tests/src/unit-late_starts.cpp
@@ -34,12 +34,12 @@
 {
     jobs::submit value;
     value.id = from.id;
-    value.taken_from.name = from.of == kind::filler ? "filler" : "queue";
-    value.taken_from.service = "pool";
-    value.taken_from.priority = from.priority;
-    value.taken_from.max_failures = 3;
-    value.taken_from.objective_factor = 2;
-    value.taken_from.objective_extra_ms = from.extra_ms;
+    value.source_queue.name = from.of == kind::filler ? "filler" : "queue";
+    value.source_queue.service = "pool";
+    value.source_queue.priority = from.priority;
+    value.source_queue.max_failures = 3;
+    value.source_queue.objective_factor = 2;
+    value.source_queue.objective_extra_ms = from.extra_ms;
     jobs::step_spec step;
     step.task_count = from.tasks;
     step.needs = {from.cpu_milli, 100, 0};
--- a/tests/src/unit-certified_read.cpp
+++ b/tests/src/unit-linearizable_read.cpp
@@ -6,9 +6,9 @@
 /// state and answers from it: an older configuration, no such queue, no such job. A look at the lease before
 /// the read doesn't rule that out.
 
-#include "plumspoke/job_server/certified_read.hpp"
+#include "plumspoke/job_server/linearizable_read.hpp"
 #include "plumspoke/jobs/codec.hpp"
-#include "plumspoke/jobs/machine.hpp"
+#include "plumspoke/jobs/job_state_machine.hpp"
 
 #include <catch2/catch.hpp>
 
@@ -29,7 +29,7 @@
 
     [[nodiscard]] bool read_version(std::uint64_t& version, bool waits, bool leads_again = false)
     {
-        return job_server::certified_read(
+        return job_server::linearizable_read(
             [this]
             {
                 return leads ? std::optional(term) : std::nullopt;
@@ -46,7 +46,7 @@
             });
     }
 
-    jobs::machine machine;
+    jobs::job_state_machine machine;
     bool leads = true;
     std::uint64_t term = 5;
 };
--- a/tests/src/unit-lost_listener.cpp
+++ b/tests/src/unit-lost_listener.cpp
@@ -12,7 +12,7 @@
 #include "../../platform/control_plane.hpp"
 #include "../../platform/workers.hpp"
 #include "control_channel.hpp"
-#include "listener_watch.hpp"
+#include "grpc_log.hpp"
 #include "single_control_vm_fixture.hpp"
 
 #include <catch2/catch.hpp>
@@ -57,7 +57,7 @@
 {
     job_server::control_channel to(address);
     grpc::ClientContext context;
-    job_server::set_limit(context, limit);
+    job_server::set_timeout(context, limit);
     wire::LeaderAnswer answer;
     const time_point begun = std::chrono::steady_clock::now();
     const grpc::Status status = to.stub().Leader(&context, {}, &answer);
--- a/tests/src/unit-platform_translation.cpp
+++ b/tests/src/unit-platform_translation.cpp
@@ -70,7 +70,7 @@
     const jobs::job_spec& spec = std::get<protocol::submit_call>(read.call).spec;
     CHECK(spec.payload == "text");
     REQUIRE(spec.steps.size() == 2);
-    CHECK(spec.steps[0].needs == jobs::room{500, 256, 0});
+    CHECK(spec.steps[0].needs == jobs::resources{500, 256, 0});
     CHECK(spec.steps[0].data_rack == "r1-3");
     CHECK(spec.steps[1].after == std::vector<std::uint32_t>{0});
     CHECK(spec.steps[1].saves_progress);
@@ -198,7 +198,7 @@
                  "machine":"m-1"})"));
     const fleet::announcement& worker = std::get<protocol::announce_call>(read).worker;
     CHECK(worker.life == fleet::worker_life{"i-7f3a", 1779733950057});
-    CHECK(worker.room == jobs::room{16000, 32768, 1});
+    CHECK(worker.room == jobs::resources{16000, 32768, 1});
     CHECK(worker.rack == "r1-3");
     CHECK(worker.state == fleet::worker_state::draining);
     CHECK(worker.time_left_ms == 1800);
--- a/tests/src/unit-replica_busy_state.cpp
+++ b/tests/src/unit-replica_busy_state.cpp
@@ -16,7 +16,7 @@
 /// state is held: held for 500 or 620 ms, 0 of 5 terms ended; for 800 ms, 5 of 5.
 
 #include "plumspoke/jobs/codec.hpp"
-#include "plumspoke/jobs/machine.hpp"
+#include "plumspoke/jobs/job_state_machine.hpp"
 #include "plumspoke/replica/driver.hpp"
 
 #include <array>
@@ -84,7 +84,7 @@
 struct one_replica
 {
     std::string name;
-    jobs::machine machine;
+    jobs::job_state_machine machine;
     std::unique_ptr<storage> disk;
     std::unique_ptr<local_transport> sender;
     std::unique_ptr<driver> runner;
--- a/tests/src/unit-replica_snapshots.cpp
+++ b/tests/src/unit-replica_snapshots.cpp
@@ -6,7 +6,7 @@
 /// quorum.
 
 #include "plumspoke/jobs/codec.hpp"
-#include "plumspoke/jobs/machine.hpp"
+#include "plumspoke/jobs/job_state_machine.hpp"
 #include "plumspoke/replica/driver.hpp"
 
 #include <array>
@@ -85,7 +85,7 @@
     for (const std::string id : {"one.first", "other.first"})
     {
         const std::filesystem::path folder = std::filesystem::path(pattern) / id;
-        jobs::machine machine;
+        jobs::job_state_machine machine;
         no_transport network;
         log_index applied = 0;
         {
--- a/tests/src/unit-silent_connections.cpp
+++ b/tests/src/unit-silent_connections.cpp
@@ -29,14 +29,14 @@
 #include "plumspoke/dispatch/dispatcher.hpp"
 #include "plumspoke/http/client.hpp"
 #include "plumspoke/http/server.hpp"
-#include "plumspoke/job_server/leader_link.hpp"
-#include "plumspoke/job_server/worker_caller.hpp"
+#include "plumspoke/job_server/leader_client.hpp"
+#include "plumspoke/job_server/worker_client.hpp"
 #include "plumspoke/replica/driver.hpp"
 #include "plumspoke/replica/grpc_transport.hpp"
 #include "plumspoke/settings/job_settings.hpp"
 
 #include "control_channel.hpp"
-#include "silent_peers.hpp"
+#include "grpc_keepalive.hpp"
 #include "silent_relay.hpp"
 
 #include <boost/asio/executor_work_guard.hpp>
@@ -229,17 +229,17 @@
 };
 
 /// @brief A call of a caller who waits for so long; whether it was answered.
-bool relay_within(job_server::leader_link& link, milliseconds limit)
+bool relay_within(job_server::leader_client& link, milliseconds limit)
 {
     const auto attempt = [](job_server::control_channel& to, duration left)
     {
         grpc::ClientContext context;
-        job_server::set_limit(context, left);
+        job_server::set_timeout(context, left);
         wire::RelayReply reply;
-        return to.stub().Relay(&context, {}, &reply).ok() ? job_server::call_end::answered
-                                                          : job_server::call_end::unknown;
+        return to.stub().Relay(&context, {}, &reply).ok() ? job_server::call_result::answered
+                                                          : job_server::call_result::unknown;
     };
-    return link.call(std::chrono::steady_clock::now() + limit, attempt) == job_server::call_end::answered;
+    return link.call(std::chrono::steady_clock::now() + limit, attempt) == job_server::call_result::answered;
 }
 
 // ---- a worker that answers ---------------------------------------------------------------------
@@ -304,11 +304,11 @@
     const std::unique_ptr<grpc::Server> server = builder.BuildAndStart();
     REQUIRE(server != nullptr);
     test::silent_relay relay(address);
-    job_server::leader_link link("",
-                                 [&relay]
-                                 {
-                                     return std::vector<std::string>{relay.address()};
-                                 });
+    job_server::leader_client link("",
+                                   [&relay]
+                                   {
+                                       return std::vector<std::string>{relay.address()};
+                                   });
     link.start();
     // What operators and workers are answered within, before they go on to another control VM.
     constexpr auto answer_limit = milliseconds(800);
@@ -330,18 +330,18 @@
     grpc::ServerBuilder builder;
     builder.AddListeningPort(address, grpc::InsecureServerCredentials());
     builder.RegisterService(&service);
-    job_server::end_silent_connections(builder);
+    job_server::enable_keepalive(builder);
     const std::unique_ptr<grpc::Server> server = builder.BuildAndStart();
     REQUIRE(server != nullptr);
     test::silent_relay relay(address);
     job_server::control_channel asking(relay.address());
     REQUIRE(asking.connect(seconds(5)));
-    std::this_thread::sleep_for(job_server::ask_silent_peer_after + seconds(1));
+    std::this_thread::sleep_for(job_server::keepalive_interval + seconds(1));
     REQUIRE(asking.connect(milliseconds(100)));
     CHECK(relay.connections() == 1); // a connection that answers is kept
     relay.go_silent();
     CHECK_FALSE(relay.target_ended_silent_ones());
-    CHECK(holds_within(job_server::ask_silent_peer_after + job_server::silent_peer_answer_limit + seconds(3),
+    CHECK(holds_within(job_server::keepalive_interval + job_server::keepalive_timeout + seconds(3),
                        [&relay]
                        {
                            return relay.target_ended_silent_ones();
@@ -360,7 +360,7 @@
     const plain_polls protocol;
     std::atomic<int> answers{0};
     std::atomic<bool> done{false};
-    job_server::worker_caller caller(context,
+    job_server::worker_client caller(context,
                                      protocol,
                                      [&](const dispatch::sent_order&, const dispatch::worker_answer& got)
                                      {
--- a/tests/src/unit-worker_caller.cpp
+++ b/tests/src/unit-worker_client.cpp
@@ -1,7 +1,7 @@
 /// @file
 /// @brief A call that times out counts as a silent connection only where that connection had worked before.
 
-#include "plumspoke/job_server/worker_caller.hpp"
+#include "plumspoke/job_server/worker_client.hpp"
 
 #include <boost/asio/ip/tcp.hpp>
 #include <boost/asio/read_until.hpp>
@@ -118,7 +118,7 @@
     boost::asio::io_context context;
     plain_protocol protocol;
     std::optional<dispatch::reply> ended;
-    worker_caller caller{context,
+    worker_client caller{context,
                          protocol,
                          [this](const dispatch::sent_order&, const dispatch::worker_answer& got)
                          {
--- a/tests/src/unit-worker_introduction.cpp
+++ b/tests/src/unit-worker_introduction.cpp
@@ -6,7 +6,7 @@
 /// header that names the worker is the same for both, so each connection asks which life it ends at before it
 /// carries an order.
 
-#include "plumspoke/job_server/worker_caller.hpp"
+#include "plumspoke/job_server/worker_client.hpp"
 
 #include <boost/asio/ip/tcp.hpp>
 #include <boost/asio/read_until.hpp>
@@ -151,7 +151,7 @@
     process worker{context};
     telling_protocol protocol;
     std::optional<dispatch::worker_answer> ended;
-    worker_caller caller{context,
+    worker_client caller{context,
                          protocol,
                          [this](const dispatch::sent_order&, const dispatch::worker_answer& got)
                          {
--- a/tests/src/unit-worker_lives.cpp
+++ b/tests/src/unit-worker_lives.cpp
@@ -29,13 +29,13 @@
 namespace
 {
 
-const jobs::room whole{16'000, 64'000, 0};
+const jobs::resources whole{16'000, 64'000, 0};
 
 /// @brief A leader, and a worker whose process comes and goes at one address.
 struct lives_fixture : fixture
 {
     /// @brief Another process answers as the worker from now on.
-    void live(const fleet::worker_life& life, jobs::room room = whole)
+    void live(const fleet::worker_life& life, jobs::resources room = whole)
     {
         alive = life;
         clock_ms = 3000;
@@ -148,7 +148,7 @@
     }
 
     fleet::worker_life alive;
-    jobs::room said;
+    jobs::resources said;
     std::int64_t clock_ms = 900'000;
     std::uint64_t sequence = 0;
     std::uint64_t ends = 0;
--- a/tests/world/busy_fleet.cpp
+++ b/tests/world/busy_fleet.cpp
@@ -163,11 +163,11 @@
 {
     jobs::submit value;
     value.id = "job" + std::to_string(1'000'000'000'000 + next_job_++);
-    value.taken_from.service = "pool";
-    value.taken_from.priority = priority;
-    value.taken_from.max_failures = 3;
-    value.taken_from.objective_factor = objective_factor;
-    value.taken_from.objective_extra_ms = objective_ms;
+    value.source_queue.service = "pool";
+    value.source_queue.priority = priority;
+    value.source_queue.max_failures = 3;
+    value.source_queue.objective_factor = objective_factor;
+    value.source_queue.objective_extra_ms = objective_ms;
     value.spec = std::move(spec);
     value.at_ms = clock_ms();
     const jobs::step_spec& first = value.spec.steps.front();
@@ -560,7 +560,7 @@
                                    [this, planned]
                                    {
                                        const double begun = thread_seconds();
-                                       const jobs::answer answer = store_.apply(planned.command);
+                                       const jobs::command_answer answer = store_.apply(planned.command);
                                        outcome_.record_s += thread_seconds() - begun;
                                        leader_.round_ended(now_, planned.id, answer.starts_accepted);
                                    });
--- a/tests/world/busy_fleet.hpp
+++ b/tests/world/busy_fleet.hpp
@@ -34,8 +34,8 @@
     std::uint32_t most_short_tasks = 18; // of a step
     std::uint32_t least_filler_tasks = 4;
     std::uint32_t most_filler_tasks = 36;
-    jobs::room least_short{1200, 3000, 0};
-    jobs::room most_short{4400, 8000, 0};
+    jobs::resources least_short{1200, 3000, 0};
+    jobs::resources most_short{4400, 8000, 0};
     std::uint32_t filler_images = 18;
     std::uint32_t serving_images = 10;
     double lasting_jobs_per_s =
--- a/tests/world/task_world.cpp
+++ b/tests/world/task_world.cpp
@@ -94,9 +94,9 @@
        {
            jobs::submit value;
            value.id = id;
-           value.taken_from.service = "pool";
-           value.taken_from.max_failures = max_failures;
-           value.taken_from.objective_factor = 2;
+           value.source_queue.service = "pool";
+           value.source_queue.max_failures = max_failures;
+           value.source_queue.objective_factor = 2;
            value.spec = spec;
            (void)store_.apply(value);
        });
@@ -257,11 +257,11 @@
             }
         }
     }
-    jobs::room used = spec.filler ? jobs::room{0, spec.needs.memory_mb, 0} : spec.needs;
+    jobs::resources used = spec.filler ? jobs::resources{0, spec.needs.memory_mb, 0} : spec.needs;
     for (const auto& [running, task] : on.running)
     {
         const jobs::step_spec& other = store_.find(running.task.job)->spec.steps[running.task.step];
-        used += other.filler ? jobs::room{0, other.needs.memory_mb, 0} : other.needs;
+        used += other.filler ? jobs::resources{0, other.needs.memory_mb, 0} : other.needs;
     }
     if (!used.fits_into(on.info.room))
     {
@@ -639,7 +639,7 @@
            {
                return; // its leader was lost before it was on a quorum of disks
            }
-           const jobs::answer answer = store_.apply(planned.command);
+           const jobs::command_answer answer = store_.apply(planned.command);
            if (epoch == epoch_ && leading_)
            {
                leader_.round_ended(now_, planned.id, answer.starts_accepted);
@@ -772,7 +772,7 @@
         outcome_.failed += job.phase == jobs::job_phase::failed ? 1 : 0;
         outcome_.cancelled += job.phase == jobs::job_phase::cancelled ? 1 : 0;
         outcome_.sound_failed += job.phase == jobs::job_phase::failed && !has_crashing_task(id) ? 1 : 0;
-        outcome_.open += jobs::is_final(job.phase) || job.lasts() ? 0 : 1;
+        outcome_.open += jobs::is_final(job.phase) || job.has_lasting_step() ? 0 : 1;
     }
     outcome_.ends_done = leader_.counts().ends_done;
     events_.clear();
