--- a/include/plumspoke/job_server/combined_outcome.hpp
+++ b/include/plumspoke/job_server/combined_outcome.hpp
@@ -1,22 +1,22 @@
 #pragma once
 
 /// @file
-/// @brief What may be said to a caller after several attempts, of which an earlier one got no answer.
+/// @brief The outcome reported to a caller after several attempts, of which some got no answer.
 
 #include "plumspoke/jobs/store.hpp"
 
 namespace plumspoke::job_server
 {
 
-/// @brief The outcome that is true for all attempts together.
-/// @param told what the last leader that was asked says
-/// @param may_be_done whether an earlier attempt got no clear answer
-/// @note A leader says `refused` of its own attempt only: what an earlier one left in the log may yet be
-///       committed, and a caller that was told "not taken" would see its job run.
-[[nodiscard]] constexpr jobs::outcome combined_outcome(jobs::outcome told, bool may_be_done) noexcept
+/// @brief The outcome of all attempts together.
+/// @param last the outcome reported for the last attempt
+/// @param may_be_done whether the result of an earlier attempt is unknown
+/// @note A leader reports `refused` for its own attempt only. A log entry of an earlier attempt may still be
+///       committed, and a caller told "not taken" would then see its job run.
+[[nodiscard]] constexpr jobs::outcome combined_outcome(jobs::outcome last, bool may_be_done) noexcept
 {
-    const bool refused = told == jobs::outcome::refused;
-    return refused && may_be_done ? jobs::outcome::undecided : told;
+    const bool refused = last == jobs::outcome::refused;
+    return refused && may_be_done ? jobs::outcome::undecided : last;
 }
 
 } // namespace plumspoke::job_server
--- a/include/plumspoke/job_server/control_server.hpp
+++ b/include/plumspoke/job_server/control_server.hpp
@@ -1,8 +1,8 @@
 #pragma once
 
 /// @file
-/// @brief The control role for jobs made of steps: the replicated store, the leader's dispatcher, and
-///        the servers for operators, workers, entries and the other control VMs.
+/// @brief The control role for jobs made of steps: the replicated store, the leader's dispatcher, and the
+///        servers for operators, workers, entries and the other control VMs.
 
 #include "plumspoke/dispatch/decision_pace.hpp"
 #include "plumspoke/dispatch/dispatcher.hpp"
@@ -23,13 +23,13 @@
 namespace plumspoke::job_server
 {
 
-/// @brief Counts of one control process.
+/// @brief Counters of one control process.
 struct control_counts
 {
     std::atomic<std::uint64_t> announcements{0};
     std::atomic<std::uint64_t> announcements_refused{0};
     std::atomic<std::uint64_t> configurations{0};
-    std::atomic<std::uint64_t> calls_invalid{0}; // of operators and workers
+    std::atomic<std::uint64_t> calls_invalid{0}; // malformed calls of operators and workers
     std::atomic<std::uint64_t> configurations_unanswered{0};
     std::atomic<std::uint64_t> reads_refused{0};
     std::atomic<std::uint64_t> submits{0};
@@ -39,7 +39,7 @@
     std::atomic<std::uint64_t> cancels{0};
     std::atomic<std::uint64_t> leader_changes{0};
     std::atomic<std::uint64_t> steps_without_lease{0};
-    std::atomic<std::uint64_t> steps_yielded{0}; // to heartbeats, with little left of the lease
+    std::atomic<std::uint64_t> steps_yielded{0}; // to heartbeats, shortly before the lease expires
 };
 
 /// @brief One control process.
@@ -49,9 +49,9 @@
     /// @name construction
     /// @{
 
-    /// @param seeds reads the addresses of control VMs from the settings as they are now
-    /// @param operators translates what operators and workers say
-    /// @param workers translates orders to workers
+    /// @param seeds returns the addresses of the control VMs from the current settings
+    /// @param operators parses requests of operators and workers
+    /// @param workers serializes orders to workers and parses their answers
     control_server(const settings::job_settings& settings,
                    std::function<std::vector<std::string>()> seeds,
                    const protocol::control_protocol& operators,
@@ -67,7 +67,7 @@
     /// @name access
     /// @{
 
-    /// @brief The disk's error, where it has failed.
+    /// @brief The error of the disk, if it has failed.
     [[nodiscard]] std::error_code failure() const;
     /// @}
 
@@ -99,7 +99,7 @@
     void propose(const dispatch::planned_round& planned);
     void arm_timer();
 
-    /// @brief What only grows, as of the beginning or the end of a window.
+    /// @brief Monotonic counters at the start or end of a window.
     struct loop_totals
     {
         std::array<std::uint64_t, metrics::loop_part_count> part_us{}; // processor time
@@ -112,13 +112,13 @@
         std::uint64_t silent_replicas = 0;
     };
 
-    /// @brief What the leader's loop did since its last log line.
+    /// @brief Statistics of the leader's loop since its last log line.
     struct loop_window
     {
         time_point begun{};
         std::int64_t steps = 0;
-        std::int64_t without_lease = 0; // steps in which the lease had lapsed
-        std::int64_t late_us = 0;       // the latest step or timer
+        std::int64_t without_lease = 0; // steps in which the lease had expired
+        std::int64_t late_us = 0;       // the largest delay of a step or timer
         std::int64_t decide_us = 0;     // the longest decision
         loop_totals before;
     };
@@ -138,22 +138,24 @@
     void relay_once(std::uint64_t leader_term);
     [[nodiscard]] bool wait_until_relayed(const fleet::worker_life& life);
     void deliver(const std::vector<fleet::announcement>& changed);
-    /// @return those that are not known here
+    /// @return those that are not registered here
     [[nodiscard]] std::vector<fleet::worker_life> refresh_alive(const std::vector<fleet::worker_life>& lives);
 
-    // ---- what the leader answers (control_service.cpp)
+    // ---- answers of the leader (control_service.cpp)
+    /// @brief Whether this process leads and holds an unexpired lease.
     [[nodiscard]] bool acting() const;
 
-    /// @brief The term in which this process surely leads now, if it does.
+    /// @brief The term in which this process leads and holds an unexpired lease, if any.
     [[nodiscard]] std::optional<std::uint64_t> acting_term() const;
     [[nodiscard]] jobs::outcome configure(const jobs::configuration& value, duration limit);
     [[nodiscard]] std::optional<std::string> read_configuration() const;
 
-    /// @param held released once the record can't be committed any more, or has been
+    /// @brief Proposes a command and waits until it is committed.
+    /// @param registration released once the record is committed or can no longer be committed
     [[nodiscard]] replica::proposal_result
     commit(const jobs::command& value,
            duration limit,
-           std::shared_ptr<const in_flight_submits::entry> held = nullptr);
+           std::shared_ptr<const in_flight_submits::entry> registration = nullptr);
 
     [[nodiscard]] http::response metrics_response() const;
     void add_silent_lines(std::vector<metrics::counter_line>& to) const;
@@ -171,25 +173,25 @@
     std::unique_ptr<http::server> metrics_http_;
 
     std::mutex registry_mutex_;
-    std::condition_variable relay_wanted_;
-    std::condition_variable relayed_;
+    std::condition_variable relay_requested_;
+    std::condition_variable relay_done_;
     bool relay_pending_ = false;
     fleet::registry registry_;
 
     boost::asio::io_context context_;
     boost::asio::steady_timer timer_{context_};
     std::unique_ptr<worker_client> worker_client_;
-    boost::asio::steady_timer pacing_timer_{context_}; // between two decisions
-    dispatch::dispatcher dispatcher_;                  // on the loop's thread only, as is its pace
+    boost::asio::steady_timer pacing_timer_{context_}; // delays the next decision
+    dispatch::dispatcher dispatcher_;                  // this and pace_: loop thread only
     dispatch::decision_pace pace_;
     std::atomic<bool> step_scheduled_{false};
     in_flight_submits submits_;
-    std::atomic<bool> rejects_submits_{false}; // the leader is behind: as of the last decision
-    time_point next_expiry_{};                 // of unused connections to workers
+    std::atomic<bool> rejects_submits_{false}; // whether the leader was overloaded at the last decision
+    time_point next_expiry_{};                 // of idle connections to workers
     loop_window window_;
     metrics::thread_meter meter_;
     mutable std::mutex counts_mutex_;
-    dispatch::dispatch_counts dispatch_counts_; // as of the last step
+    dispatch::dispatch_counts dispatch_counts_; // as of the last decision
     std::size_t live_jobs_ = 0;
     std::size_t live_runs_ = 0;
     std::size_t known_workers_ = 0;
@@ -208,7 +210,7 @@
     std::thread membership_thread_;
     std::thread relay_thread_;
     std::unique_ptr<grpc_members> grpc_;
-    std::uint64_t accepts_failed_ = 0; // before the gRPC server began to listen
+    std::uint64_t accepts_failed_ = 0; // failed_accepts() when the gRPC server started
 };
 
 } // namespace plumspoke::job_server
--- a/include/plumspoke/job_server/entry_server.hpp
+++ b/include/plumspoke/job_server/entry_server.hpp
@@ -1,8 +1,8 @@
 #pragma once
 
 /// @file
-/// @brief The entry role for jobs made of steps: takes callers' requests to the leader. It keeps no
-///        state: queues, jobs and the configuration are the leader's, so an entry is never out of date.
+/// @brief The entry role for jobs made of steps: forwards callers' requests to the leader. It is stateless:
+///        queues, jobs and the configuration are read from the leader, so an entry is never out of date.
 
 #include "plumspoke/http/server.hpp"
 #include "plumspoke/job_server/leader_client.hpp"
@@ -22,12 +22,12 @@
 namespace plumspoke::job_server
 {
 
-/// @brief Requests by how they ended.
+/// @brief Requests by outcome.
 struct entry_counts
 {
     std::atomic<std::uint64_t> requests{0};
     std::atomic<std::uint64_t> bad_requests{0};
-    std::array<std::atomic<std::uint64_t>, 10> outcomes{}; // by jobs::outcome
+    std::array<std::atomic<std::uint64_t>, 10> outcomes{}; // indexed by jobs::outcome
 };
 
 /// @brief One entry process.
@@ -43,8 +43,8 @@
 
     [[nodiscard]] std::error_code start();
 
-    /// @brief No longer ready; answers all that is taken until the stop ends, also what comes on open
-    /// connections.
+    /// @brief Reports not ready and answers all requests until the drain ends, including those that arrive on
+    ///        open connections.
     void stop();
 
   private:
@@ -73,7 +73,7 @@
     std::unique_ptr<http::server> metrics_http_;
     entry_counts counts_;
     metrics::latency_histogram answer_times_;
-    time_point answer_deadline_{}; // while draining; written before draining_ is set
+    time_point answer_deadline_{}; // valid while draining; written before draining_ is set
     std::atomic<bool> draining_{false};
     std::atomic<bool> stopped_{false};
 };
--- a/include/plumspoke/job_server/in_flight_submits.hpp
+++ b/include/plumspoke/job_server/in_flight_submits.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief Which jobs are being made durable now, by any of this process's threads.
+/// @brief The submits that this process has proposed to the log and that are not decided yet.
 
 #include <mutex>
 #include <set>
@@ -11,13 +11,14 @@
 namespace plumspoke::job_server
 {
 
-/// @brief Ids of jobs whose record has been handed to the log and has not come back.
-/// @note A caller whose first try got no answer asks again, maybe by another entry. "Not taken" may be said
-///       only where no earlier try of the same id can still be committed.
+/// @brief Ids of jobs whose record was proposed to the log and is neither committed nor rejected yet.
+///        Thread-safe.
+/// @note A caller whose first attempt got no answer retries, possibly through another entry. "Not taken" may
+///       be reported only if no earlier attempt for the same id can still be committed.
 class in_flight_submits
 {
   public:
-    /// @brief Holds an id for as long as its record is on its way.
+    /// @brief Registers an id for as long as its record is in flight.
     class entry
     {
       public:
@@ -34,7 +35,7 @@
             owner_.ids_.erase(owner_.ids_.find(id_));
         }
 
-        /// @brief Whether another try of the same id is on its way too.
+        /// @brief Whether another submit of the same id is in flight too.
         [[nodiscard]] bool has_duplicate() const
         {
             const std::lock_guard lock(owner_.mutex_);
@@ -46,7 +47,7 @@
         std::string id_;
     };
 
-    /// @brief Whether a record of this id is on its way.
+    /// @brief Whether a submit of this id is in flight.
     [[nodiscard]] bool contains(const std::string& id) const
     {
         const std::lock_guard lock(mutex_);
--- a/include/plumspoke/job_server/leader_backoff.hpp
+++ b/include/plumspoke/job_server/leader_backoff.hpp
@@ -1,13 +1,14 @@
 #pragma once
 
 /// @file
-/// @brief What an entry or a control VM does while nobody leads: how long calls wait, how often it searches,
-///        when it connects anew, and when callers may return. No I/O, no clock.
+/// @brief Timeouts and backoff of an entry or a control VM while there is no leader: how long calls wait, how
+///        often the leader is searched for, when connections are replaced, and when callers may retry.
+///        Performs no I/O and reads no clock.
 ///
-/// Load that it answers: no leader for seconds, hundreds of daemons that search for one, and callers with a
-/// limit of some seconds each. Searching ten times a second, with new connections to whoever didn't answer in
-/// time, 147 entries could open up to 1,800 connections a second (by arithmetic) to VMs that had no processor
-/// time left to elect a leader with; callers were held until their own limits.
+/// Guards against overload while there is no leader for seconds, hundreds of daemons search for one, and
+/// callers have timeouts of a few seconds. With ten searches per second and a new connection to every address
+/// that timed out, 147 entries could open up to 1,800 connections per second (computed) to VMs that then had
+/// no processor time left for an election; calls were held until their own timeouts.
 
 #include "plumspoke/time/time.hpp"
 
@@ -18,106 +19,109 @@
 namespace plumspoke::job_server
 {
 
-/// @brief How long a call waits for a leader.
+/// @brief Limits how long a call waits for a leader.
 class leader_timeout
 {
   public:
-    /// @brief Until the call's deadline.
+    /// @brief Waits until the call's deadline.
     leader_timeout() = default;
 
-    /// @brief Only as long as waiting is likely to be worth it, for callers who can come back.
-    /// @param threads_in_use share of the threads that serve callers
+    /// @brief Waits only while a leader is likely to appear, for callers that can retry.
+    /// @param threads_in_use share of the HTTP threads that are serving callers, 0 to 1
     [[nodiscard]] static leader_timeout for_caller(double threads_in_use) noexcept
     {
         leader_timeout out;
         out.bounded_ = true;
-        out.crowded_ = threads_in_use > crowded_share;
+        out.threads_scarce_ = threads_in_use > scarce_threads_share;
         return out;
     }
 
-    /// @param left until the call's deadline
-    /// @param leaderless how long nobody has led
+    /// @brief The longest wait for a leader.
+    /// @param left time until the call's deadline
+    /// @param leaderless time since a leader was last known
     [[nodiscard]] duration wait_limit(duration left, duration leaderless) const noexcept
     {
         if (!bounded_)
         {
             return left;
         }
-        // Half of the time is left to the caller, for another try elsewhere.
-        const duration longest = leaderless < usual_absence && !crowded_ ? left / 2 : short_wait;
+        // Leaves the caller half of its time for a retry at another entry.
+        const duration longest =
+            leaderless < typical_leaderless_time && !threads_scarce_ ? left / 2 : short_wait;
         return std::min(left, longest);
     }
 
   private:
-    // An election takes up to 1.5 s, and VMs that lost power some 1 s to come back. After that it is not
-    // known when one leads, and who waits only holds a thread.
-    static constexpr duration usual_absence = milliseconds(2500);
-    static constexpr duration short_wait = milliseconds(150); // a round of the search over open connections
-    static constexpr double crowded_share = 0.75;             // the rest gives refusals
+    // An election takes up to 1.5 s and a VM that lost power about 1 s to return. After that the end of the
+    // outage is unpredictable, and a waiting call only occupies a thread.
+    static constexpr duration typical_leaderless_time = milliseconds(2500);
+    static constexpr duration short_wait = milliseconds(150); // one search over open connections
+    static constexpr double scarce_threads_share = 0.75;      // the remaining threads reject calls
 
     bool bounded_ = false;
-    bool crowded_ = false;
+    bool threads_scarce_ = false;
 };
 
-/// @brief Pauses between searches for a leader: 100 ms at first, then up to 400 ms, and spread, so that
-///        hundreds of searchers don't come at once (exponential backoff with jitter).
+/// @brief Exponential backoff with jitter between searches for a leader, from 100 ms to 400 ms. The jitter
+///        keeps hundreds of daemons from searching at the same time.
 class search_backoff
 {
   public:
-    /// @param random from 0 to 1
+    /// @brief The next pause.
+    /// @param random uniformly distributed, 0 to 1
     [[nodiscard]] duration next(double random) noexcept
     {
         const duration base = pause_;
-        pause_ = std::min(2 * pause_, longest_pause);
+        pause_ = std::min(2 * pause_, max_pause);
         const auto spread = static_cast<std::int64_t>(static_cast<double>(base.count()) * (0.5 + random));
         return duration(spread);
     }
 
-    void found() noexcept
+    void reset() noexcept
     {
-        pause_ = first_pause;
+        pause_ = initial_pause;
     }
 
   private:
-    static constexpr duration first_pause = milliseconds(100);
-    static constexpr duration longest_pause = milliseconds(400);
+    static constexpr duration initial_pause = milliseconds(100);
+    static constexpr duration max_pause = milliseconds(400);
 
-    duration pause_ = first_pause;
+    duration pause_ = initial_pause;
 };
 
-/// @brief How often the connection to one address may be replaced. One that has carried answers and is silent
-///        now is replaced at once; a fresh one that doesn't answer either says that its VM is slow or away,
-///        and that another connection would only add to its load.
+/// @brief Limits how often the connection to one address is replaced. A connection that has carried answers
+///        and has become unresponsive is replaced at once. If a new connection does not answer either, the VM
+///        is slow or down, and further connections would only add load; they back off exponentially.
 class reconnect_backoff
 {
   public:
-    /// @param answered whether the present connection ever carried an answer
+    /// @param answered whether the current connection ever carried an answer
     [[nodiscard]] bool may_reconnect(time_point now, bool answered) noexcept
     {
         if (answered)
         {
-            spacing_ = first_spacing;
+            interval_ = initial_interval;
         }
         else if (now < next_at_)
         {
             return false;
         }
-        next_at_ = now + spacing_;
-        spacing_ = std::min(2 * spacing_, longest_spacing);
+        next_at_ = now + interval_;
+        interval_ = std::min(2 * interval_, max_interval);
         return true;
     }
 
   private:
-    static constexpr duration first_spacing = milliseconds(200);
-    static constexpr duration longest_spacing = milliseconds(1600);
+    static constexpr duration initial_interval = milliseconds(200);
+    static constexpr duration max_interval = milliseconds(1600);
 
     time_point next_at_{};
-    duration spacing_ = first_spacing;
+    duration interval_ = initial_interval;
 };
 
-/// @brief When a caller that was refused may come back: after two elections on average, each at its own time
-///        within two seconds, so that those who were refused together don't return together.
-/// @param name of the call, such as its path: the same call always gets the same time
+/// @brief The delay after which a rejected caller may retry, in milliseconds: two elections on average,
+///        spread over two seconds so that callers rejected together do not retry together.
+/// @param name identifies the call, such as its path; the same name always gets the same delay
 [[nodiscard]] constexpr std::uint32_t jittered_return_ms(std::string_view name) noexcept
 {
     constexpr std::uint32_t earliest_ms = 500;
--- a/include/plumspoke/job_server/leader_client.hpp
+++ b/include/plumspoke/job_server/leader_client.hpp
@@ -30,22 +30,22 @@
 enum class call_result : std::uint8_t
 {
     answered,
-    not_executed, // surely nothing was done
-    unknown,      // it may have been done, or may be done yet
+    not_executed, // certainly had no effect
+    unknown,      // may have had an effect, or may still have one
 };
 
-/// @brief Where a control VM's process is reached; a new connection after each report_failure.
+/// @brief A connection to one control process; see control_channel.hpp.
 class control_channel;
 
-/// @brief Keeps the addresses of the control VMs and knows who leads.
+/// @brief Tracks the addresses of the control VMs and the current leader, and sends calls to the leader.
 class leader_client
 {
   public:
     /// @name construction
     /// @{
 
-    /// @param self this process's internal address, left out of the search; empty for an entry
-    /// @param seeds read anew whenever nobody answers
+    /// @param self this process's internal address, excluded from the search; empty for an entry
+    /// @param seeds returns configured control addresses; called again before each search
     leader_client(std::string self, std::function<std::vector<std::string>()> seeds);
     leader_client(const leader_client&) = delete;
     leader_client& operator=(const leader_client&) = delete;
@@ -57,38 +57,38 @@
     /// @name calls
     /// @{
 
-    /// @brief Calls the leader, and the next one when it changes, until there is an answer.
-    /// @param deadline when to give up
-    /// @param attempt makes one call on a channel with a limit; says how it ended
-    /// @param timeout how long to wait where nobody leads; by default until the deadline
+    /// @brief Calls the leader and retries, also when the leader changes, until there is an answer.
+    /// @param deadline when to stop retrying
+    /// @param attempt makes one call on a channel within a timeout and returns its result
+    /// @param timeout how long to wait while there is no leader; by default until the deadline
     [[nodiscard]] call_result call(time_point deadline,
                                    const std::function<call_result(control_channel&, duration)>& attempt,
                                    const leader_timeout& timeout = {});
 
-    /// @brief Bounds the deadlines of all calls, also of those that are being made.
+    /// @brief Sets an upper bound on the deadlines of all calls, including calls in progress.
     void limit_deadlines(time_point limit);
 
-    /// @brief A reply has named another leader.
+    /// @brief Adds the address of a leader that a reply named; empty: none.
     void hint(const std::string& address);
     /// @}
 
     /// @name access
     /// @{
 
-    /// @brief When a leader last answered; nothing where none has.
+    /// @brief When a leader last answered, if ever.
     [[nodiscard]] std::optional<time_point> last_contact() const;
     [[nodiscard]] std::string leader() const;
     [[nodiscard]] std::uint64_t leader_term() const;
     [[nodiscard]] std::vector<std::string> known_addresses() const;
 
-    /// @brief Calls that ran into their limit on a connection that had carried an answer before.
+    /// @brief Calls that timed out on a connection that had carried an answer before.
     [[nodiscard]] std::uint64_t silent_calls() const noexcept
     {
         return silent_calls_;
     }
     /// @}
 
-    /// @brief Adds addresses of control VMs, as the membership names them.
+    /// @brief Adds addresses of control VMs, such as those of the members; known ones are ignored.
     void add_addresses(const std::vector<std::string>& addresses);
 
   private:
@@ -125,14 +125,14 @@
     std::string leader_;
     std::uint64_t term_ = 0;
     std::optional<time_point> last_contact_;
-    time_point leaderless_since_; // where nobody leads
+    time_point leaderless_since_; // valid while there is no leader
     std::map<std::string, reconnect_backoff> reconnect_backoffs_;
     search_backoff search_backoff_;
-    std::minstd_rand random_{std::random_device{}()}; // on the searching thread
+    std::minstd_rand random_{std::random_device{}()}; // search thread only
     bool search_requested_ = true;
     std::atomic<bool> stopping_{false};
     time_point deadline_limit_ = time_point::max();
-    std::vector<std::shared_ptr<leader_query>> queries_; // on the searching thread
+    std::vector<std::shared_ptr<leader_query>> queries_; // search thread only
     std::thread thread_;
 };
 
--- a/include/plumspoke/job_server/linearizable_read.hpp
+++ b/include/plumspoke/job_server/linearizable_read.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief A leader's answer from its own state, which another leader must not have overtaken.
+/// @brief Linearizable reads of the leader's own state, guarded by its lease.
 
 #include <cstdint>
 #include <optional>
@@ -9,13 +9,13 @@
 namespace plumspoke::job_server
 {
 
-/// @brief Reads while this process leads, and says whether it surely still did once it had read.
-/// @param leads the term in which this process holds the leader's lease at the time of the call, if any
-/// @param read fills an answer from the state; not called where the process doesn't lead
-/// @return false where the answer must not be given
-/// @note A process may get no processor time for seconds between any two steps, so a lease that was looked at
-///       before the read alone says nothing of what was read.
-/// @note Both looks have to find the same term: between two terms of one process another one may have led.
+/// @brief Reads the state and checks that this process held the leader's lease before and after.
+/// @param leads returns the term in which this process holds the leader's lease now, if any
+/// @param read fills an answer from the state; not called if the process does not hold the lease
+/// @return false if the state may be stale, so the answer must not be used
+/// @note The process may get no processor time for seconds between any two steps, so checking the lease only
+///       before the read is not enough.
+/// @note Both checks must return the same term: another process may have led between two terms of this one.
 template <typename Check, typename Read>
 [[nodiscard]] bool linearizable_read(const Check& leads, const Read& read)
 {
--- a/include/plumspoke/job_server/order_queue.hpp
+++ b/include/plumspoke/job_server/order_queue.hpp
@@ -1,11 +1,11 @@
 #pragma once
 
 /// @file
-/// @brief The orders that wait for one connection to a worker, in the order in which they go. No I/O, no
-/// clock.
+/// @brief The orders that wait for one connection to a worker, in sending order. Performs no I/O and reads no
+///        clock.
 ///
-/// Load that it answers: a worker that leaves every second call unanswered. Each takes its whole time limit
-/// on the connection, so starts wait for seconds; by the time they go, their runs may not be wanted any more.
+/// Guards against a worker that leaves every second call unanswered. Each such call occupies the connection
+/// for its whole timeout, so starts wait for seconds, and their runs may have been stopped in the meantime.
 
 #include "plumspoke/dispatch/orders.hpp"
 
@@ -18,7 +18,7 @@
 namespace plumspoke::job_server
 {
 
-/// @brief Orders that wait: stops before all others, else in turn.
+/// @brief A queue of orders: stops first, otherwise first in, first out.
 class order_queue
 {
   public:
@@ -28,9 +28,8 @@
     }
 
     /// @brief Adds an order.
-    /// @return starts that it makes void: they are never to be sent. A stop that goes first may stay
-    /// unanswered;
-    ///         its run's start would go next, and begin what was stopped.
+    /// @return the queued starts that a stop cancels; they must never be sent. The stop may stay unanswered,
+    ///         and a start of the same run sent after it would begin a stopped run.
     [[nodiscard]] std::vector<dispatch::order> push(dispatch::order what)
     {
         const auto* stop = std::get_if<dispatch::stop_order>(&what);
@@ -48,7 +47,7 @@
         const auto first_dropped = std::stable_partition(waiting_.begin(), waiting_.end(), is_kept);
         std::move(first_dropped, waiting_.end(), std::back_inserter(dropped));
         waiting_.erase(first_dropped, waiting_.end());
-        // What a stop would wait for may take a time limit for each order.
+        // Every order ahead of a stop could delay it by a whole timeout.
         const auto first_other = std::find_if(waiting_.begin(),
                                               waiting_.end(),
                                               [](const dispatch::order& one)
@@ -59,7 +58,7 @@
         return dropped;
     }
 
-    /// @brief Takes the next order.
+    /// @brief Removes and returns the next order.
     /// @pre not empty
     [[nodiscard]] dispatch::order pop()
     {
--- a/include/plumspoke/job_server/worker_client.hpp
+++ b/include/plumspoke/job_server/worker_client.hpp
@@ -1,10 +1,11 @@
 #pragma once
 
 /// @file
-/// @brief Carries orders to workers over HTTP: one thread, kept connections, a limit for each call.
+/// @brief Sends orders to workers over HTTP on one thread, with persistent connections and a timeout per
+/// call.
 ///
-/// Boost.Beast in place of CivetWeb's client, which holds a thread for each call that waits: a leader
-/// polls every worker that runs something.
+/// Uses Boost.Beast because CivetWeb's client blocks a thread per pending call, and a leader has a pending
+/// poll at every worker that runs a task.
 
 #include "plumspoke/dispatch/orders.hpp"
 #include "plumspoke/protocol/protocol.hpp"
@@ -20,24 +21,24 @@
 
 using answer_handler = std::function<void(const dispatch::sent_order&, const dispatch::worker_answer&)>;
 
-/// @brief Calls that ran into their limit on a connection that had carried an answer before.
+/// @brief Counts calls that timed out on a connection that had carried an answer before.
 struct silent_calls
 {
     std::atomic<std::uint64_t> polls{0};
     std::atomic<std::uint64_t> orders{0};
 };
 
-/// @brief Sends each worker's orders in turn, its polls on a connection of their own.
+/// @brief Sends each worker's orders one after the other, and its polls on a separate connection.
 ///
-/// An address, and an id, may be another life's by the time a connection is made. So each connection to a
-/// life that tells its time of birth asks for it first: no order reaches a life that it isn't meant for.
-/// @note All calls and callbacks are on the io_context's one thread.
+/// By the time a connection is established, an address or an id may belong to another incarnation of the
+/// worker. If the recipient's time of birth is known, each connection therefore asks for it first, so that no
+/// order reaches the wrong incarnation.
+/// @note All calls and callbacks run on the io_context's only thread.
 class worker_client
 {
   public:
-    /// @param max_connections held at once; 0: any number. Above it what was idle longest is closed, and
-    /// where
-    ///        none is idle a call counts as unanswered at once
+    /// @param max_connections open at once; 0: unlimited. At the limit, idle connections are closed; if none
+    ///        is idle, a call counts as unanswered at once
     worker_client(boost::asio::io_context& context,
                   const protocol::worker_protocol& protocol,
                   answer_handler handle,
@@ -48,27 +49,27 @@
 
     void send(dispatch::order what);
 
-    /// @brief Drops all that waits and all connections; nothing of it is answered.
+    /// @brief Drops all queued orders and all connections without calling the handler.
     void reset();
 
-    /// @brief Closes connections to addresses that were not used for a while.
+    /// @brief Closes connections that have been idle for a while.
     void expire(time_point now);
 
-    /// @brief Connections to workers that are held now.
-    /// @note Read by all threads.
+    /// @brief Open connections to workers.
+    /// @note Thread-safe.
     [[nodiscard]] std::size_t connections() const noexcept
     {
         return open_connections_;
     }
 
-    /// @brief Calls that found no connection left within the limit.
-    /// @note Read by all threads.
+    /// @brief Calls that failed because all connections allowed were in use.
+    /// @note Thread-safe.
     [[nodiscard]] std::uint64_t without_connection() const noexcept
     {
         return without_connection_;
     }
 
-    /// @note Read by all threads.
+    /// @note Thread-safe.
     [[nodiscard]] const silent_calls& silent() const noexcept
     {
         return silent_;
@@ -76,9 +77,9 @@
 
   private:
     class connection;
-    using connections_by_life =
+    using connections_by_incarnation =
         std::unordered_map<fleet::worker_life, std::shared_ptr<connection>, fleet::worker_life_hash>;
-    [[nodiscard]] std::shared_ptr<connection> find_or_open(connections_by_life& among,
+    [[nodiscard]] std::shared_ptr<connection> find_or_open(connections_by_incarnation& pool,
                                                            const dispatch::recipient& to);
     [[nodiscard]] bool ensure_capacity();
     void fail_unsent(dispatch::order what);
@@ -93,8 +94,8 @@
     std::atomic<std::uint64_t> without_connection_{0};
     std::atomic<std::size_t> open_connections_{0};
     std::uint64_t resets_ = 0;
-    connections_by_life poll_connections_;
-    connections_by_life order_connections_;
+    connections_by_incarnation poll_connections_;
+    connections_by_incarnation order_connections_;
 };
 
 } // namespace plumspoke::job_server
--- a/src/job_server/control_channel.hpp
+++ b/src/job_server/control_channel.hpp
@@ -11,10 +11,11 @@
 namespace plumspoke::job_server
 {
 
-/// @brief Largest gRPC message between own processes: a relay of all workers, or a configuration.
+/// @brief Largest gRPC message between processes of the system, in bytes: a relay of all workers, or a
+///        configuration.
 constexpr int max_message_bytes = 64 << 20;
 
-/// @brief One connection, made anew after each doubt of it.
+/// @brief One connection to a control process. It is replaced after calls on it time out.
 class control_channel
 {
   public:
@@ -29,11 +30,11 @@
         return address_;
     }
 
-    /// @brief Waits for the connection.
-    /// @return false where there is none in time: nothing was sent then
+    /// @brief Waits until the connection is established.
+    /// @return false if it is not established in time; nothing was sent then
     [[nodiscard]] bool connect(std::chrono::microseconds limit);
 
-    /// @brief Says that a call was answered over this connection.
+    /// @brief Records that a call was answered over this connection.
     void note_answered() noexcept
     {
         answered_ = true;
@@ -50,7 +51,7 @@
     std::atomic<bool> answered_{false};
 };
 
-/// @brief Sets the time limit of one call.
+/// @brief Sets the timeout of one call.
 void set_timeout(grpc::ClientContext& context, std::chrono::microseconds limit);
 
 } // namespace plumspoke::job_server
--- a/src/job_server/control_http.cpp
+++ b/src/job_server/control_http.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief What operators and workers ask over HTTP, at any control VM.
+/// @brief HTTP requests of operators and workers, served by any control VM.
 
 #include "control_service.hpp"
 #include "grpc_log.hpp"
@@ -14,9 +14,9 @@
 {
 
 constexpr const char* part = "control";
-// Operators and workers go on to another control VM after a second.
+// Operators and workers try another control VM after a second.
 constexpr auto answer_timeout = milliseconds(800);
-constexpr auto relay_interval = milliseconds(400); // tells the leader who is alive
+constexpr auto relay_interval = milliseconds(400); // of liveness reports to the leader
 constexpr auto relay_timeout = milliseconds(600);
 constexpr auto registry_expiry = seconds(10); // nine missed announcements
 
@@ -29,7 +29,7 @@
     return out;
 }
 
-/// @brief Turns a gRPC call into how it ended, as far as the leader link needs it.
+/// @brief Maps the status of a gRPC call to the result that leader_client expects.
 call_result to_call_result(const grpc::Status& status, bool acting)
 {
     if (!status.ok())
@@ -92,7 +92,7 @@
     }
     ++counts_.configurations_unanswered;
     logging::write(
-        logging::event(part, "configuration_unanswered", "A configuration could not be made durable in time.")
+        logging::event(part, "configuration_unanswered", "The configuration was not committed in time.")
             .with("version", static_cast<std::int64_t>(call.value.version))
             .with("known_leader", leader_client_.leader()));
     return json_response(503, R"({"error":"no leader has answered in time"})");
@@ -163,14 +163,14 @@
 http::response control_server::handle(const protocol::goodbye_call& call)
 {
     const time_point now = std::chrono::steady_clock::now();
-    std::vector<fleet::announcement> concerned;
+    std::vector<fleet::announcement> changed;
     {
         const std::lock_guard lock(registry_mutex_);
-        concerned = registry_.say_goodbye(now, call.worker);
+        changed = registry_.say_goodbye(now, call.worker);
     }
-    if (!concerned.empty() && acting())
+    if (!changed.empty() && acting())
     {
-        deliver(concerned);
+        deliver(changed);
     }
     return json_response(200, "{}");
 }
@@ -185,8 +185,8 @@
     if (!is_relayed())
     {
         relay_pending_ = true;
-        relay_wanted_.notify_one();
-        relayed_.wait_for(lock, answer_timeout, is_relayed);
+        relay_requested_.notify_one();
+        relay_done_.wait_for(lock, answer_timeout, is_relayed);
     }
     return registry_.is_relayed(leader_client_.leader_term(), life);
 }
@@ -197,12 +197,12 @@
     {
         {
             std::unique_lock lock(registry_mutex_);
-            relay_wanted_.wait_for(lock,
-                                   relay_interval,
-                                   [this]
-                                   {
-                                       return stopping_ || relay_pending_;
-                                   });
+            relay_requested_.wait_for(lock,
+                                      relay_interval,
+                                      [this]
+                                      {
+                                          return stopping_ || relay_pending_;
+                                      });
             relay_pending_ = false;
             registry_.expire(std::chrono::steady_clock::now(), registry_expiry);
         }
@@ -248,18 +248,18 @@
                                                 });
     if (end != call_result::answered || leader_client_.leader_term() != leader_term)
     {
-        return; // another leader: all is sent to it
+        return; // the leader has changed; everything is sent to the new one
     }
     std::vector<fleet::worker_life> unknown;
     for (int i = 0; i < reply.unknown_size(); ++i)
     {
-        const bool told = i < reply.unknown_born_ms_size(); // not by an older control VM
-        unknown.push_back({reply.unknown(i), told ? reply.unknown_born_ms(i) : 0});
+        const bool has_born_ms = i < reply.unknown_born_ms_size(); // absent from older control VMs
+        unknown.push_back({reply.unknown(i), has_born_ms ? reply.unknown_born_ms(i) : 0});
     }
     const std::lock_guard lock(registry_mutex_);
     registry_.note_relayed(leader_term, changed);
     registry_.note_unknown(unknown);
-    relayed_.notify_all();
+    relay_done_.notify_all();
 }
 
 void control_server::deliver(const std::vector<fleet::announcement>& changed)
@@ -275,7 +275,7 @@
     boost::asio::post(context_,
                       [this, now, changed]
                       {
-                          const metrics::measured_part hearing(metrics::loop_part::announcements);
+                          const metrics::measured_part measured(metrics::loop_part::announcements);
                           for (const fleet::announcement& one : changed)
                           {
                               dispatcher_.announced(now, one);
@@ -288,7 +288,7 @@
 {
     const time_point now = std::chrono::steady_clock::now();
     std::vector<fleet::worker_life> unknown;
-    std::vector<fleet::announcement> heard;
+    std::vector<fleet::announcement> known;
     {
         const std::lock_guard lock(registry_mutex_);
         for (const fleet::worker_life& life : lives)
@@ -300,14 +300,14 @@
                 continue;
             }
             registry_.receive(now, *last);
-            heard.push_back(*last);
+            known.push_back(*last);
         }
     }
     boost::asio::post(context_,
-                      [this, now, heard = std::move(heard)]
+                      [this, now, known = std::move(known)]
                       {
-                          const metrics::measured_part hearing(metrics::loop_part::announcements);
-                          for (const fleet::announcement& one : heard)
+                          const metrics::measured_part measured(metrics::loop_part::announcements);
+                          for (const fleet::announcement& one : known)
                           {
                               if (!dispatcher_.still_alive(now, one.life))
                               {
--- a/src/job_server/control_loop.cpp
+++ b/src/job_server/control_loop.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The leader's loop: one thread that feeds the dispatcher and carries out what it decides.
+/// @brief The leader's loop: one thread that feeds the dispatcher and executes its decisions.
 
 #include "plumspoke/job_server/control_server.hpp"
 #include "plumspoke/jobs/codec.hpp"
@@ -16,12 +16,12 @@
 {
 
 constexpr const char* part = "control";
-constexpr auto leading_interval = milliseconds(25);    // what changes with time alone: retries, lapses
-constexpr auto following_interval = milliseconds(100); // only to notice leadership
+constexpr auto leading_interval = milliseconds(25);    // for timers: retries, lease expiry
+constexpr auto following_interval = milliseconds(100); // only to detect gaining leadership
 constexpr auto expire_interval = seconds(5);
-constexpr auto window_length = seconds(1); // of the loop's log line: a lease is lost within a few of them
-// After so much work without a pause the loop's thread rests, and the threads of peers and callers have their
-// turn: a fifth of the time, about what they use beside a busy loop.
+constexpr auto window_length = seconds(1); // of the loop's log line; a lease is lost within a few windows
+// After this much uninterrupted work the loop's thread sleeps, so that the threads serving peers and callers
+// get processor time: a fifth of the total, about what they need beside a busy loop.
 constexpr auto max_busy_period = milliseconds(8);
 constexpr auto rest_period = milliseconds(2);
 
@@ -38,9 +38,8 @@
     return std::chrono::duration_cast<milliseconds>(duration(microseconds)).count();
 }
 
-/// @brief Adds the lapsed runs of this process so far, by who found them and by cause; causes without any are
-/// left
-///        out.
+/// @brief Adds this process's counts of runs whose lease expired, by finder and cause; zero counts are
+///        omitted.
 void add_lapses(logging::event& to, const dispatch::lapse_counts& of)
 {
     for (std::size_t by = 0; by < dispatch::lapse_finder_count; ++by)
@@ -64,15 +63,15 @@
     const auto work = boost::asio::make_work_guard(context_);
     meter_.start();
     arm_timer();
-    while (context_.run_one() > 0) // waits where there is nothing to do
+    while (context_.run_one() > 0) // blocks while there is nothing to do
     {
         run_ready_handlers();
     }
 }
 
-// A heartbeat passes through several threads of the process on its way and back, and each would wait behind a
-// loop that never rests, until the leader's lease is over. A VM that has used up its share of a processor
-// loses nothing by a rest.
+// A heartbeat and its answer pass through several threads of this process. Each would wait behind a loop that
+// never sleeps, until the leader's lease expires. A VM that has exhausted its processor quota loses nothing
+// by the sleep.
 void control_server::run_ready_handlers()
 {
     const time_point rest_at = std::chrono::steady_clock::now() + max_busy_period;
@@ -145,7 +144,7 @@
 void control_server::step()
 {
     step_scheduled_ = false;
-    // The clock is read before leadership is looked at: an order's lease counts from this reading.
+    // Read the clock before checking leadership: the leases of orders are counted from this time.
     const time_point now = std::chrono::steady_clock::now();
     const measured_part following(loop_part::follow);
     const replica::replica_status status = driver_->status();
@@ -165,7 +164,7 @@
     if (pace_.gives_way(now, std::chrono::duration_cast<duration>(status.lease_end - now)))
     {
         ++counts_.steps_yielded;
-        return; // the timer leads to the next step
+        return; // the timer triggers the next step
     }
     dispatch::dispatch_output decided = decide(now);
     execute(decided);
@@ -242,7 +241,7 @@
     {
         return static_cast<std::int64_t>(later - earlier);
     };
-    logging::event line(part, "loop", "What the leader's loop did in this window.");
+    logging::event line(part, "loop", "Statistics of the leader's loop in this window.");
     line.with("term", static_cast<std::int64_t>(dispatcher_.term()))
         .with("window_ms", std::chrono::duration_cast<milliseconds>(now - window_.begun).count())
         .with("steps", window_.steps)
@@ -329,7 +328,7 @@
 void control_server::log_leadership_end(time_point now, const replica::replica_status& status) const
 {
     const replica::ended_term& last = status.last_ended;
-    logging::event line(part, "retired", "Leads no more.");
+    logging::event line(part, "retired", "This process no longer leads.");
     line.with("term", static_cast<std::int64_t>(dispatcher_.term())).with("new_leader", status.leader_name);
     if (last.term == dispatcher_.term())
     {
@@ -391,7 +390,7 @@
                              {
                                  if (dispatcher_.term() != term)
                                  {
-                                     return; // of an earlier reign
+                                     return; // proposed in an earlier term
                                  }
                                  std::optional<std::vector<bool>> accepted;
                                  if (!result.error)
--- a/src/job_server/control_server.cpp
+++ b/src/job_server/control_server.cpp
@@ -17,13 +17,12 @@
 
 constexpr const char* part = "control";
 constexpr auto membership_interval = milliseconds(200);
-constexpr auto shutdown_timeout = milliseconds(300); // of the gRPC server, for calls that are being answered
-constexpr auto final_answers_timeout =
-    milliseconds(500);                          // of operators and workers, once nothing is decided any more
-constexpr auto quiet_period = milliseconds(75); // without a request, for a drain to be over
-constexpr auto join_after_silence = milliseconds(1500); // two elections without a leader
+constexpr auto shutdown_timeout = milliseconds(300);      // of the gRPC server, for calls in progress
+constexpr auto final_answers_timeout = milliseconds(500); // to operators and workers, after the loop's end
+constexpr auto quiet_period = milliseconds(75);           // without requests, after which a drain is complete
+constexpr auto join_after_silence = milliseconds(1500);   // two elections without a leader
 constexpr auto join_interval = milliseconds(500);
-constexpr std::int64_t metrics_threads = 2; // one reader, and one that has not closed yet
+constexpr std::int64_t metrics_threads = 2; // one reader, plus one whose connection is not closed yet
 
 replica::driver_options make_driver_options(const settings::job_settings& settings)
 {
@@ -94,9 +93,9 @@
 
 std::error_code control_server::bootstrap_group()
 {
-    const bool seed = std::find(settings_.control.begin(), settings_.control.end(), settings_.internal) !=
-                      settings_.control.end();
-    if (!settings_.found_group || !seed)
+    const bool is_seed = std::find(settings_.control.begin(), settings_.control.end(), settings_.internal) !=
+                         settings_.control.end();
+    if (!settings_.found_group || !is_seed)
     {
         return {};
     }
@@ -234,8 +233,8 @@
     return driver_->status().failure;
 }
 
-// Peers, entries and other control VMs reach this process through one listening socket: without it a former
-// leader stands for election alone, and a voter is lost until its process ends.
+// Peers, entries and other control VMs reach this process through one listening socket. Without it a former
+// leader campaigns in vain, and the group lacks a voter until the process is restarted.
 void control_server::restore_listener()
 {
     if (failed_accepts() == accepts_failed_)
@@ -248,10 +247,11 @@
         grpc_->server.reset();
     }
     const bool listening = start_grpc();
-    accepts_failed_ = listening ? accepts_failed_ : accepts_failed_ - 1; // tried again with the next look
-    logging::write(
-        logging::event(part, "listener_restored", "No connection could be accepted. Listening anew.")
-            .with("listening", listening ? 1 : 0));
+    accepts_failed_ = listening ? accepts_failed_ : accepts_failed_ - 1; // retried at the next check
+    logging::write(logging::event(part,
+                                  "listener_restored",
+                                  "The gRPC server failed to accept a connection. Restarted its listener.")
+                       .with("listening", listening ? 1 : 0));
 }
 
 // ---- membership --------------------------------------------------------------------------------
@@ -290,13 +290,13 @@
     const std::string leader = leader_client_.leader();
     if (leader.empty())
     {
-        return; // the search goes on; whoever leads is asked next time
+        return; // retried once the search has found a leader
     }
-    std::string address = leader; // becomes the one that the answer names
+    std::string address = leader; // request_join replaces it by the leader that the answer names
     const replica::member self{storage_->identity(), settings_.internal, settings_.internal, false};
     if (replica::request_join(address, self))
     {
-        logging::write(logging::event(part, "joining", "Asked the leader to be taken in.")
+        logging::write(logging::event(part, "joining", "Asked the leader to join the group.")
                            .with("leader", address)
                            .with("member", self.id));
     }
--- a/src/job_server/control_service.cpp
+++ b/src/job_server/control_service.cpp
@@ -27,13 +27,13 @@
     return !text.empty() && jobs::job_id::fits(text) && text.find('/') == std::string_view::npos;
 }
 
-/// @brief What a path means under the configuration in force.
+/// @brief The queue and job that a path denotes under the current configuration.
 struct resolved_path
 {
     jobs::outcome problem = jobs::outcome::accepted;
     jobs::queue of;
-    std::string id;         // empty: the queue itself
-    bool known_job = false; // there is a job with this id
+    std::string id;         // of the job; empty: the path denotes the queue
+    bool known_job = false; // whether a job with this id exists
 };
 
 resolved_path resolve(const jobs::store& state, const std::string& host, const std::string& path)
@@ -96,7 +96,7 @@
     return out;
 }
 
-// ---- the leader's answers ----------------------------------------------------------------------
+// ---- answers of the leader ----------------------------------------------------------------------
 
 bool control_server::acting() const
 {
@@ -111,13 +111,13 @@
 
 replica::proposal_result control_server::commit(const jobs::command& value,
                                                 duration limit,
-                                                std::shared_ptr<const in_flight_submits::entry> held)
+                                                std::shared_ptr<const in_flight_submits::entry> registration)
 {
     const time_point begun = std::chrono::steady_clock::now();
     const auto promise = std::make_shared<std::promise<replica::proposal_result>>();
     std::future<replica::proposal_result> future = promise->get_future();
     driver_->propose(jobs::encode(value),
-                     [promise, held = std::move(held)](replica::proposal_result got)
+                     [promise, registration = std::move(registration)](replica::proposal_result got)
                      {
                          promise->set_value(std::move(got));
                      });
@@ -147,7 +147,7 @@
         return jobs::outcome::undecided;
     }
     const jobs::outcome taken = jobs::decode_answer(result.answer).result;
-    logging::write(logging::event(part, "configuration", "A configuration is durable.")
+    logging::write(logging::event(part, "configuration", "A configuration was committed.")
                        .with("version", static_cast<std::int64_t>(value.version))
                        .with("in_force", taken == jobs::outcome::accepted ? 1 : 0)
                        .with("queues", static_cast<std::int64_t>(value.queues.size())));
@@ -187,8 +187,8 @@
 template <typename Reader>
 bool control_server::service::read(wire::JobReply& reply, const Reader& reader) const
 {
-    // A process without processor time, or behind a long decision, may outlive its lease before it reads.
-    const bool certain = linearizable_read(
+    // The lease may expire before the read if the process is starved or waits for a long decision.
+    const bool is_valid = linearizable_read(
         [this]
         {
             return owner_.acting_term();
@@ -197,14 +197,14 @@
         {
             owner_.state_machine_.read(reader);
         });
-    reply.set_acting(certain);
-    if (!certain)
+    reply.set_acting(is_valid);
+    if (!is_valid)
     {
         reply.Clear();
         reply.set_leader_address(owner_.driver_->status().leader_address);
         set_outcome(reply, jobs::outcome::not_leading);
     }
-    return certain;
+    return is_valid;
 }
 
 grpc::Status control_server::service::Submit(grpc::ServerContext* /*context*/,
@@ -213,13 +213,13 @@
 {
     std::uint32_t max_body = 0;
     resolved_path to;
-    const bool certain = read(*reply,
-                              [&](const jobs::store& state)
-                              {
-                                  max_body = state.current().max_body_bytes;
-                                  to = resolve(state, request->host(), request->path());
-                              });
-    if (!certain)
+    const bool is_valid = read(*reply,
+                               [&](const jobs::store& state)
+                               {
+                                   max_body = state.current().max_body_bytes;
+                                   to = resolve(state, request->host(), request->path());
+                               });
+    if (!is_valid)
     {
         return grpc::Status::OK;
     }
@@ -255,15 +255,16 @@
                                             const std::string& id,
                                             wire::JobReply& reply)
 {
-    const auto held = std::make_shared<const in_flight_submits::entry>(owner_.submits_, id);
-    if (owner_.rejects_submits_ && !held->has_duplicate())
+    const auto registration = std::make_shared<const in_flight_submits::entry>(owner_.submits_, id);
+    if (owner_.rejects_submits_ && !registration->has_duplicate())
     {
-        // Taken now it would wait behind all that the leader is late with; elsewhere, or later, it need not.
+        // The job would queue behind the leader's backlog; a retry later or through another entry need not.
         ++owner_.counts_.submits_refused;
         ++owner_.counts_.submits_refused_behind;
-        logging::write(logging::event(part, "job_not_taken", "The leader is behind with what it has.")
-                           .with("job", id)
-                           .with("queue", into.name));
+        logging::write(
+            logging::event(part, "job_not_taken", "The leader is overloaded; the job was rejected.")
+                .with("job", id)
+                .with("queue", into.name));
         set_outcome(reply, jobs::outcome::refused);
         reply.set_return_after_ms(jittered_return_ms(request.path()));
         return;
@@ -273,11 +274,12 @@
     value.source_queue = into;
     value.spec = jobs::from_wire(request.spec());
     value.at_ms = time_of_day_ms();
-    const replica::proposal_result result = owner_.commit(value, milliseconds(request.limit_ms()), held);
+    const replica::proposal_result result =
+        owner_.commit(value, milliseconds(request.limit_ms()), registration);
     if (!result.error)
     {
         const jobs::outcome taken = jobs::decode_answer(result.answer).result;
-        logging::write(logging::event(part, "job_taken", "A job is durable.")
+        logging::write(logging::event(part, "job_taken", "A job was committed.")
                            .with("job", value.id)
                            .with("queue", into.name)
                            .with("priority", into.priority)
@@ -286,17 +288,17 @@
         set_outcome(reply, taken);
         return;
     }
-    logging::write(logging::event(part, "job_not_taken", "A job could not be made durable.")
+    logging::write(logging::event(part, "job_not_taken", "A job was not committed.")
                        .with("job", value.id)
                        .with("queue", into.name)
                        .with("error", result.error.message()));
     const bool not_proposed =
         result.error == replica::errc::not_leader || result.error == replica::errc::queue_full;
     const bool definitely_rejected =
-        not_proposed && !held->has_duplicate(); // else an earlier try may yet be committed
+        not_proposed && !registration->has_duplicate(); // an earlier submit may still be committed
     if (result.error == replica::errc::not_leader)
     {
-        reply.set_acting(false); // it has just changed; the entry asks the next one
+        reply.set_acting(false); // the leader has just changed; the entry calls the next one
     }
     owner_.counts_.submits_refused += definitely_rejected ? 1 : 0;
     owner_.counts_.submits_undecided += definitely_rejected ? 0 : 1;
@@ -322,7 +324,7 @@
     }
     if (!to.known_job)
     {
-        // Under the state's lock: a record that is applied before this read is known, one that isn't is held.
+        // Runs under the state's lock: every submit is either applied already or still registered.
         const bool undecided = owner_.submits_.contains(to.id);
         set_outcome(reply, undecided ? jobs::outcome::undecided : jobs::outcome::unknown_job);
         reply.set_return_after_ms(undecided ? jittered_return_ms(request.path()) : 0);
@@ -348,12 +350,12 @@
                                              wire::JobReply* reply)
 {
     resolved_path to;
-    const bool certain = read(*reply,
-                              [&](const jobs::store& state)
-                              {
-                                  to = resolve(state, request->host(), request->path());
-                              });
-    if (!certain)
+    const bool is_valid = read(*reply,
+                               [&](const jobs::store& state)
+                               {
+                                   to = resolve(state, request->host(), request->path());
+                               });
+    if (!is_valid)
     {
         return grpc::Status::OK;
     }
@@ -364,15 +366,17 @@
         set_outcome(*reply, no_such_job ? jobs::outcome::unknown_job : to.problem);
         return grpc::Status::OK;
     }
-    // Recorded for an unknown id too: its submit may be in the log before it, or arrive later.
+    // Recorded for unknown ids too: the submit may precede the cancel in the log, or arrive later.
     const replica::proposal_result result =
         owner_.commit(jobs::cancel{to.id, time_of_day_ms()}, milliseconds(1500));
-    logging::write(logging::event(part, "job_cancelled", "A cancel was recorded, or could not be.")
+    logging::write(logging::event(part,
+                                  "job_cancelled",
+                                  "A cancel was proposed; an error means that it was not committed.")
                        .with("job", to.id)
                        .with("error", result.error ? result.error.message() : ""));
     if (result.error == replica::errc::not_leader)
     {
-        reply->set_acting(false); // nothing was recorded; the entry asks the next leader
+        reply->set_acting(false); // nothing was recorded; the entry calls the next leader
         set_outcome(*reply, jobs::outcome::not_leading);
         return grpc::Status::OK;
     }
@@ -401,7 +405,7 @@
                                                         wire::ReadConfigurationReply* reply)
 {
     std::optional<std::string> document;
-    const bool certain = linearizable_read(
+    const bool is_valid = linearizable_read(
         [this]
         {
             return owner_.acting_term();
@@ -410,8 +414,8 @@
         {
             document = owner_.read_configuration();
         });
-    reply->set_acting(certain);
-    if (certain)
+    reply->set_acting(is_valid);
+    if (is_valid)
     {
         reply->set_present(document.has_value());
         reply->set_document(document.value_or(std::string()));
@@ -437,8 +441,8 @@
     std::vector<fleet::worker_life> alive;
     for (int i = 0; i < request->alive_size(); ++i)
     {
-        const bool told = i < request->alive_born_ms_size(); // not by an older control VM
-        alive.push_back({request->alive(i), told ? request->alive_born_ms(i) : 0});
+        const bool has_born_ms = i < request->alive_born_ms_size(); // absent from older control VMs
+        alive.push_back({request->alive(i), has_born_ms ? request->alive_born_ms(i) : 0});
     }
     for (const fleet::worker_life& life : owner_.refresh_alive(alive))
     {
--- a/src/job_server/control_service.hpp
+++ b/src/job_server/control_service.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief What entries and other control VMs ask over gRPC.
+/// @brief The gRPC service for entries and other control VMs.
 
 #include "control_channel.hpp"
 #include "plumspoke/job_server/control_server.hpp"
@@ -9,7 +9,7 @@
 namespace plumspoke::job_server
 {
 
-/// @brief Answers as the leader, or says who leads.
+/// @brief Answers as the leader, or names the leader.
 class control_server::service final : public wire::JobControl::Service
 {
   public:
@@ -36,8 +36,8 @@
     Relay(grpc::ServerContext* context, const wire::RelayRequest* request, wire::RelayReply* reply) override;
 
   private:
-    /// @brief Reads the state for an answer.
-    /// @return false where this process may have been overtaken: the reply says who leads, and nothing else
+    /// @brief Performs a linearizable read of the state for an answer.
+    /// @return false if this process may no longer lead; the reply then only names the leader
     template <typename Reader> [[nodiscard]] bool read(wire::JobReply& reply, const Reader& reader) const;
     void
     describe_state(const jobs::store& state, const wire::JobRequest& request, wire::JobReply& reply) const;
@@ -49,7 +49,7 @@
     control_server& owner_;
 };
 
-/// @brief What needs grpcpp; kept out of the public header.
+/// @brief The members that need grpcpp, kept out of the public header.
 struct control_server::grpc_members
 {
     std::unique_ptr<grpc::Service> replicas;
--- a/src/job_server/entry_server.cpp
+++ b/src/job_server/entry_server.cpp
@@ -14,16 +14,16 @@
 {
 
 constexpr const char* part = "entry";
-constexpr std::int64_t default_timeout_ms = 3000; // where the caller doesn't say how long it waits
-constexpr std::int64_t response_margin_ms = 150;  // for the answer's way back, several times over
+constexpr std::int64_t default_timeout_ms = 3000; // for callers that state no timeout
+constexpr std::int64_t response_margin_ms = 150;  // several times the answer's network delay
 constexpr std::int64_t min_timeout_ms = 100;
-constexpr auto max_leader_contact_age = milliseconds(2000); // four missed looks at the leader
-constexpr auto drain_grace_period = milliseconds(2500);     // the balancer misses two looks, a second apart
-constexpr auto final_answers_timeout = milliseconds(700);   // for answers that are being written at the end
-constexpr auto quiet_period = milliseconds(75);             // without a request, for a drain to be over
+constexpr auto max_leader_contact_age = milliseconds(2000); // four missed polls of the leader
+constexpr auto drain_grace_period = milliseconds(2500); // the load balancer misses two checks, one per second
+constexpr auto final_answers_timeout = milliseconds(700); // for answers still being written at the end
+constexpr auto quiet_period = milliseconds(75);           // without requests, after which a drain is complete
 constexpr auto final_quiet_period = milliseconds(300); // a busy VM's threads read what has arrived within it
-constexpr std::int64_t readiness_threads = 4;          // one answers while others wait for silent connections
-constexpr std::int64_t metrics_threads = 2;            // one reader, and one that has not closed yet
+constexpr std::int64_t readiness_threads = 4; // one answers while unresponsive connections block others
+constexpr std::int64_t metrics_threads = 2;   // one reader, plus one whose connection is not closed yet
 
 http::server_options make_options(const std::string& address, std::int64_t threads)
 {
@@ -33,7 +33,7 @@
     return options;
 }
 
-/// @brief Reads a leader's reply.
+/// @brief Maps a leader's reply to a call result and fills the caller's answer.
 call_result read_reply(const grpc::Status& status,
                        const wire::JobReply& reply,
                        leader_client& link,
@@ -54,7 +54,7 @@
     return call_result::answered;
 }
 
-/// @brief Reads what a leader says of a job, or of a queue.
+/// @brief Fills the caller's answer with the state of a job, or the job count of a queue.
 void read_state(const wire::JobReply& reply, protocol::caller_answer& into)
 {
     if (into.result != jobs::outcome::accepted)
@@ -89,7 +89,7 @@
 
 } // namespace
 
-/// @brief How one call of a leader's job service ended.
+/// @brief The status and reply of one call to the leader's job service.
 struct entry_server::job_answer
 {
     grpc::Status status;
@@ -157,12 +157,13 @@
     draining_ = true;
     leader_client_.limit_deadlines(answer_deadline_);
     http_->begin_drain();
-    logging::write(logging::event(part, "draining", "Takes no new connections; answers what is open.")
-                       .with("in_flight", http_->in_flight()));
+    logging::write(
+        logging::event(part, "draining", "Draining: no new connections; answering requests on open ones.")
+            .with("in_flight", http_->in_flight()));
     std::this_thread::sleep_until(std::min(begun + drain_grace_period, answer_deadline_));
     (void)http_->wait_until_idle(answer_deadline_, quiet_period);
     leader_client_.stop();
-    // From now, not from the deadline: a process that stood still has read nothing of what arrived meanwhile.
+    // Counted from now, not from the deadline: a process that was frozen has not read what arrived meanwhile.
     const bool idle =
         http_->wait_until_idle(std::chrono::steady_clock::now() + final_answers_timeout, final_quiet_period);
     logging::write(
@@ -201,7 +202,7 @@
         logging::write(logging::event(part, "bad_request", bad->message).with("path", asked.path));
         return callers_.write(*bad);
     }
-    const protocol::caller_answer told = std::visit(
+    const protocol::caller_answer result = std::visit(
         [&](const auto& call) -> protocol::caller_answer
         {
             if constexpr (std::is_same_v<std::decay_t<decltype(call)>, protocol::bad_call>)
@@ -216,17 +217,17 @@
         asked.call);
     const auto took = std::chrono::duration_cast<duration>(std::chrono::steady_clock::now() - begun);
     answer_times_.record(took.count());
-    ++counts_.outcomes.at(static_cast<std::size_t>(told.result));
-    if (told.result == jobs::outcome::refused || told.result == jobs::outcome::undecided)
+    ++counts_.outcomes.at(static_cast<std::size_t>(result.result));
+    if (result.result == jobs::outcome::refused || result.result == jobs::outcome::undecided)
     {
-        logging::write(logging::event(part, "request_not_served", "A request got no answer from a leader.")
+        logging::write(logging::event(part, "request_not_served", "No leader answered the request.")
                            .with("path", asked.path)
                            .with("method", received.method)
-                           .with("outcome", static_cast<std::int64_t>(told.result))
+                           .with("outcome", static_cast<std::int64_t>(result.result))
                            .with("known_leader", leader_client_.leader())
                            .with("waited_ms", took.count() / 1000));
     }
-    return callers_.write(told);
+    return callers_.write(result);
 }
 
 protocol::caller_answer entry_server::forward(const protocol::caller_request& asked,
--- a/src/job_server/grpc_keepalive.hpp
+++ b/src/job_server/grpc_keepalive.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief A gRPC server's watch over connections whose other end has gone silent.
+/// @brief Keepalive settings of a gRPC server.
 
 #include "plumspoke/time/time.hpp"
 
@@ -10,11 +10,11 @@
 namespace plumspoke::job_server
 {
 
-// Calls notice silence by their own limits; this only frees what a server holds for a peer that left.
+// Calls detect an unresponsive peer by their own timeouts; keepalive only frees what the server holds for it.
 constexpr auto keepalive_interval = milliseconds(5000);
-constexpr auto keepalive_timeout = milliseconds(3000); // a VM that stands still comes back sooner or anew
+constexpr auto keepalive_timeout = milliseconds(3000); // a frozen VM resumes sooner, or is restarted
 
-/// @brief Lets a server end connections that answer nothing, also those without calls.
+/// @brief Makes a server close connections whose peer answers no pings, including those without calls.
 inline void enable_keepalive(grpc::ServerBuilder& of)
 {
     of.AddChannelArgument(GRPC_ARG_KEEPALIVE_TIME_MS, static_cast<int>(keepalive_interval.count()));
--- a/src/job_server/grpc_log.cpp
+++ b/src/job_server/grpc_log.cpp
@@ -21,7 +21,7 @@
     {
         ++failed_accept_count;
     }
-    logging::write(logging::event("grpc", "library_error", "The gRPC library reports an error.")
+    logging::write(logging::event("grpc", "library_error", "gRPC reported an error.")
                        .with("file", line->file)
                        .with("line", line->line)
                        .with("text", message));
--- a/src/job_server/leader_client.cpp
+++ b/src/job_server/leader_client.cpp
@@ -12,18 +12,19 @@
 namespace
 {
 
-// Between looks at a leader that answers: half of the shortest time that users give an entry to notice.
+// Of polls of the leader: half of the shortest time that users allow an entry to detect its loss.
 constexpr auto poll_interval = milliseconds(500);
 constexpr auto query_timeout = milliseconds(300); // an answer takes about 2 ms
-// gRPC must not lose a channel inside a callback of its own: it ends the process ("prior > 0"). So the
-// queries, which hold the channels, are dropped by the searching thread, long after their limit.
+// Destroying a channel inside a gRPC callback makes gRPC abort the process ("prior > 0"). The queries, which
+// own the channels, are therefore destroyed on the search thread, long after their timeout.
 constexpr auto query_retention = seconds(2);
-constexpr auto stop_check_interval = milliseconds(50); // of a search
+constexpr auto stop_check_interval = milliseconds(50); // during a search
 constexpr auto connect_timeout = milliseconds(250);
-constexpr auto max_attempt_timeout = milliseconds(900); // then another process is asked
-constexpr auto min_split_timeout = milliseconds(150);   // less than this is not split in two
+constexpr auto max_attempt_timeout = milliseconds(900); // then the next attempt starts
+constexpr auto min_split_timeout = milliseconds(150);   // less time is not split between two attempts
 
-/// @brief Time for one attempt: the connection may be silent, so half is left for the next one.
+/// @brief The timeout of one attempt: the connection may be unresponsive, so half of the time is kept for a
+///        retry.
 duration attempt_timeout(duration left)
 {
     return left / 2 < min_split_timeout ? left : std::min<duration>(left / 2, max_attempt_timeout);
@@ -40,7 +41,7 @@
     arguments.SetInt(GRPC_ARG_INITIAL_RECONNECT_BACKOFF_MS, 100);
     arguments.SetInt(GRPC_ARG_MIN_RECONNECT_BACKOFF_MS, 100);
     arguments.SetInt(GRPC_ARG_MAX_RECONNECT_BACKOFF_MS, 300);
-    // Without this a new channel would take over the old one's connection, which may hang.
+    // Otherwise a new channel would reuse the old one's connection, which may be unresponsive.
     arguments.SetInt(GRPC_ARG_USE_LOCAL_SUBCHANNEL_POOL, 1);
     channel_ = grpc::CreateCustomChannel(address, grpc::InsecureChannelCredentials(), arguments);
     stub_ = wire::JobControl::NewStub(channel_);
@@ -211,7 +212,7 @@
     search_signal_.notify_all();
 }
 
-// The lock is held. Of many calls that fail on one connection only the first makes a new one.
+// Requires mutex_. Of many calls that fail on one connection, only the first replaces it.
 void leader_client::replace_channel(const control_channel& over)
 {
     const auto found = channels_.find(over.address());
@@ -279,17 +280,17 @@
     const std::lock_guard lock(mutex_);
     if (term < term_)
     {
-        return; // somebody who doesn't know yet that it was replaced
+        return; // from a former leader that does not know yet that it was replaced
     }
     if (leader_ != address)
     {
-        logging::write(logging::event("link", "leader_found", "Found who leads.")
+        logging::write(logging::event("link", "leader_found", "Found the leader.")
                            .with("leader", address)
                            .with("term", static_cast<std::int64_t>(term)));
     }
     leader_ = address;
     term_ = term;
-    search_backoff_.found();
+    search_backoff_.reset();
     last_contact_ = std::chrono::steady_clock::now();
     search_requested_ = false;
     leader_changed_.notify_all();
@@ -346,9 +347,10 @@
     record_call(*to, status.ok(), status.error_code() == grpc::StatusCode::DEADLINE_EXCEEDED);
     if (!status.ok() || !answer.acting())
     {
-        logging::write(logging::event("link", "leader_lost", "The leader doesn't answer as one any more.")
-                           .with("leader", address)
-                           .with("error", status.error_message()));
+        logging::write(
+            logging::event("link", "leader_lost", "The leader does not answer, or no longer leads.")
+                .with("leader", address)
+                .with("error", status.error_message()));
         report_failure(*to, status.error_code() == grpc::StatusCode::DEADLINE_EXCEEDED);
         return false;
     }
@@ -357,7 +359,7 @@
     return true;
 }
 
-/// @brief One leader_query of a search; lives until its answer or limit.
+/// @brief One query of a search.
 struct leader_client::leader_query
 {
     std::shared_ptr<query_batch> all;
@@ -375,7 +377,7 @@
     }
 };
 
-/// @brief Waits for all queries of one search, or for the first that found the leader.
+/// @brief Tracks the pending queries of one search, and whether one has found the leader.
 struct leader_client::query_batch
 {
     std::mutex mutex;
@@ -448,7 +450,7 @@
                   });
 }
 
-// Their answers are written by gRPC's threads, which must be done with them before this object ends.
+// gRPC's threads write the answers and must be done with them before this object is destroyed.
 void leader_client::cancel_queries()
 {
     for (const std::shared_ptr<leader_query>& one : queries_)
@@ -477,7 +479,7 @@
         const std::lock_guard lock(mutex_);
         if (timed_out)
         {
-            replace_channel(*ended.to); // silence may last for good on this one; a refusal tells of itself
+            replace_channel(*ended.to); // it may never recover; after an error status, gRPC reconnects
         }
         return;
     }
--- a/src/job_server/worker_client.cpp
+++ b/src/job_server/worker_client.cpp
@@ -21,17 +21,18 @@
 namespace beast = boost::beast;
 using tcp = boost::asio::ip::tcp;
 
-constexpr auto order_timeout = milliseconds(700); // an answer takes a few ms; the way there and back 8
-// Two polls in a row may meet silent connections before a lease of 4 s is renewed that was given a poll
-// earlier: 1 s + (1 s + 0.7 s) + 0.5 s and the pauses between leave 0.6 s. The second poll doesn't wait.
-constexpr auto poll_margin = order_timeout; // on top of the wait that a poll asks for
+constexpr auto order_timeout = milliseconds(700); // an answer takes a few ms, the network round trip 8 ms
+// Two polls in a row may hit unresponsive connections before a 4 s lease, granted one poll earlier, has to be
+// renewed: 1 s + (1 s + 0.7 s) + 0.5 s and the pauses in between leave 0.6 s. The second poll does not wait
+// at the worker.
+constexpr auto poll_margin = order_timeout; // added to the wait that a poll requests
 constexpr auto short_poll_timeout = milliseconds(500);
-// A limit that itself runs so late says that this thread is late, not the worker.
+// If the timeout handler itself runs this late, this thread is late, not the worker.
 constexpr auto late_threshold = milliseconds(50);
-// Then the call has this much longer, once: time to read some 500 answers that are there.
+// The call is then extended once by this time, enough to read about 500 answers that have arrived.
 constexpr auto late_extension = milliseconds(250);
 constexpr auto idle_timeout = seconds(30);
-constexpr auto crowded_idle_timeout = milliseconds(500); // where descriptors run short
+constexpr auto crowded_idle_timeout = milliseconds(500); // while all connections allowed are open
 constexpr std::size_t max_response_bytes = 8U << 20U;
 
 std::optional<tcp::endpoint> parse_address(const std::string& address)
@@ -53,8 +54,8 @@
     return tcp::endpoint(ip, port);
 }
 
-/// @brief A request as it goes on the connection, in one piece: thousands of orders a second are too many for
-///        fields and buffers of the library.
+/// @brief Serializes a request into one string. With thousands of orders per second, the library's field and
+///        buffer types are too slow.
 std::string to_text(const http::request& of, const std::string& host)
 {
     std::string out;
@@ -74,22 +75,22 @@
     return out;
 }
 
-/// @brief Whether an order changes nothing at whoever answers it.
+/// @brief Whether an order has no effect at its recipient.
 bool is_read_only(const dispatch::order& what)
 {
     const auto* hold = std::get_if<dispatch::hold_order>(&what);
     return hold != nullptr && !hold->lease_until_ms.has_value() && hold->ends_noted == 0;
 }
 
-/// @brief Whether an order may go to whatever life answers.
-/// @note A stop has no effect on a life that doesn't know the run; polls, which name the life, tell its
-/// effect.
+/// @brief Whether an order may be sent to any incarnation of the worker.
+/// @note A stop has no effect on an incarnation that does not know the run; its effect is read from polls,
+///       which name the incarnation.
 bool is_valid_for_any_incarnation(const dispatch::order& what)
 {
     return is_read_only(what) || std::holds_alternative<dispatch::stop_order>(what);
 }
 
-/// @brief Whether a stop makes a start void.
+/// @brief Whether one order is the stop of the run that the other one starts.
 bool cancels_start(const dispatch::order& stopping, const dispatch::order& starting)
 {
     const auto* stop = std::get_if<dispatch::stop_order>(&stopping);
@@ -97,16 +98,16 @@
     return stop != nullptr && start != nullptr && start->name == stop->name;
 }
 
-/// @brief What asks the recipient of an order for its lists, and with them for its time of birth.
+/// @brief A poll that asks the recipient of an order for its lists, which include its time of birth.
 dispatch::hold_order make_identity_query(const dispatch::order& what)
 {
     return std::visit(
         [](const auto& one)
         {
-            dispatch::hold_order question;
-            question.to = one.to;
-            question.fencing_token = one.fencing_token;
-            return question;
+            dispatch::hold_order query;
+            query.to = one.to;
+            query.fencing_token = one.fencing_token;
+            return query;
         },
         what);
 }
@@ -123,7 +124,7 @@
 
 } // namespace
 
-/// @brief One connection: one exchange at a time, the next ones wait.
+/// @brief One connection with one exchange at a time; further orders are queued.
 class worker_client::connection : public std::enable_shared_from_this<connection>
 {
   public:
@@ -147,7 +148,7 @@
         }
     }
 
-    /// @brief Forgets the owner: nothing is answered any more.
+    /// @brief Detaches from the owner: the handler is not called any more.
     void detach()
     {
         owner_ = nullptr;
@@ -192,7 +193,7 @@
                               });
     }
 
-    /// @brief Closes the connection where an exchange takes longer.
+    /// @brief Closes the connection if the exchange takes longer than the limit.
     void start_timeout(milliseconds limit)
     {
         timed_out_ = false;
@@ -217,10 +218,10 @@
     {
         if (!in_flight_ || now < timeout_timer_.expiry())
         {
-            return; // it was on its way as its exchange ended
+            return; // the exchange ended while this handler was queued
         }
-        // Expired limits run before the answers of most sockets are read: a late thread would take each of
-        // these workers for silent, and connect to all of them again.
+        // Expired timers are handled before most sockets are read: a late thread would treat all these
+        // workers as unresponsive and reconnect to each of them.
         if (now > timeout_timer_.expiry() + late_threshold && !extended_)
         {
             extended_ = true;
@@ -229,7 +230,7 @@
             return;
         }
         timed_out_ = true;
-        boost::system::error_code ignored; // closed is closed
+        boost::system::error_code ignored; // errors on close are irrelevant
         stream_.socket().close(ignored);
     }
 
@@ -242,7 +243,7 @@
             return;
         }
         is_open_ = true;
-        boost::system::error_code ignored; // without it only small orders are slower
+        boost::system::error_code ignored; // without no_delay, small orders are only slower
         stream_.socket().set_option(tcp::no_delay(true), ignored);
         send_current();
     }
@@ -268,8 +269,7 @@
         order_written_ = !verifying_incarnation_;
         const metrics::measured_part writing(metrics::loop_part::write_order);
         request_ = to_text(owner_->protocol_.write(what), to_.address);
-        // Counted from here: where this thread is late, a connection that is long open would use the limit
-        // up.
+        // Restarted here: if this thread is late, connecting would otherwise have used up the timeout.
         start_timeout(timeout_of(what));
         boost::asio::async_write(stream_.socket(),
                                  boost::asio::buffer(request_),
@@ -338,7 +338,7 @@
             plain);
     }
 
-    /// @brief Learns whose connection it is from an answer that tells a time of birth.
+    /// @brief Verifies the worker's incarnation from an answer that contains its time of birth.
     [[nodiscard]] dispatch::worker_answer verify_incarnation(dispatch::worker_answer got)
     {
         const bool is_list =
@@ -385,10 +385,10 @@
         }
     }
 
-    /// @brief An exchange that was given up must not leave its answer to the next one.
+    /// @brief Closes the connection, so that a late answer is not read by the next exchange.
     void close()
     {
-        boost::system::error_code ignored; // closed is closed
+        boost::system::error_code ignored; // errors on close are irrelevant
         stream_.socket().close(ignored);
         buffer_.clear();
         is_open_ = false;
@@ -401,7 +401,7 @@
     beast::tcp_stream stream_;
     boost::asio::steady_timer timeout_timer_;
     beast::flat_buffer buffer_;
-    std::string request_; // as it is sent
+    std::string request_; // serialized; must outlive the write
     std::optional<beast::http::response_parser<beast::http::string_body>> parser_;
     order_queue waiting_;
     std::optional<dispatch::sent_order> current_;
@@ -409,12 +409,12 @@
     bool in_flight_ = false;
     bool is_open_ = false;
     bool timed_out_ = false;
-    bool extended_ = false;              // the present exchange had its late_extension
+    bool extended_ = false;              // the current exchange was extended
     bool has_answered_ = false;          // on this connection
-    bool incarnation_verified_ = false;  // this connection ends at the life that it is for
-    bool verifying_incarnation_ = false; // which life it is, before the present order
-    bool order_written_ = false;         // the present order itself
-    bool order_cancelled_ = false;       // the present order was made void before it was written
+    bool incarnation_verified_ = false;  // the peer is the intended incarnation
+    bool verifying_incarnation_ = false; // the identity query is in flight, before the current order
+    bool order_written_ = false;         // the current order was sent, not only its identity query
+    bool order_cancelled_ = false;       // the current order was cancelled before it was written
 };
 
 worker_client::worker_client(boost::asio::io_context& context,
@@ -450,12 +450,12 @@
     to->send(std::move(what));
 }
 
-// By life: a new one at an old address doesn't wait behind calls that hang on the old one's connection.
-std::shared_ptr<worker_client::connection> worker_client::find_or_open(connections_by_life& among,
+// Keyed by incarnation: a new one at the same address does not wait behind unanswered calls to the old one.
+std::shared_ptr<worker_client::connection> worker_client::find_or_open(connections_by_incarnation& pool,
                                                                        const dispatch::recipient& to)
 {
-    const auto found = among.find(to.worker);
-    if (found != among.end())
+    const auto found = pool.find(to.worker);
+    if (found != pool.end())
     {
         return found->second;
     }
@@ -464,7 +464,7 @@
         return nullptr;
     }
     auto added = std::make_shared<connection>(*this, to);
-    among[to.worker] = added;
+    pool[to.worker] = added;
     count_connections();
     return added;
 }
@@ -474,9 +474,9 @@
     open_connections_ = poll_connections_.size() + order_connections_.size();
 }
 
-// Load that it answers: a fleet with more workers than descriptors, or lives that follow one another fast.
-// With none left a process can't be reached by its peers any more, which costs more than a few orders that
-// wait.
+// Guards against running out of file descriptors, with more workers than descriptors or workers that restart
+// in quick succession. A process without descriptors is unreachable for its peers, which is worse than a few
+// delayed orders.
 bool worker_client::ensure_capacity()
 {
     if (max_connections_ == 0 || connections() < max_connections_)
--- a/tests/src/unit-leader_backoff.cpp
+++ b/tests/src/unit-leader_backoff.cpp
@@ -49,7 +49,7 @@
         passed += one.next(0.5);
     }
     CHECK(searches < 30); // 100 before
-    one.found();
+    one.reset();
     CHECK(one.next(0.5) == milliseconds(100));
 }
 
