--- a/include/plumspoke/jobs/codec.hpp
+++ b/include/plumspoke/jobs/codec.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief Turns jobs, commands and answers into protobuf messages and back.
+/// @brief Converts jobs, commands and answers to protobuf messages and back.
 
 #include "plumspoke/jobs.pb.h"
 #include "plumspoke/jobs/store.hpp"
@@ -18,10 +18,10 @@
 [[nodiscard]] wire::Room to_wire(const resources& value);
 [[nodiscard]] resources from_wire(const wire::Room& value);
 
-/// @brief A command as the log records it.
+/// @brief Serializes a command for the replicated log.
 [[nodiscard]] std::string encode(const command& value);
 
-/// @return the command, or nothing where it can't be read
+/// @return the command, or nothing if the bytes are malformed
 [[nodiscard]] std::optional<command> decode(std::string_view bytes);
 
 [[nodiscard]] std::string encode_answer(const command_answer& value);
--- a/include/plumspoke/jobs/crash_evidence.hpp
+++ b/include/plumspoke/jobs/crash_evidence.hpp
@@ -1,8 +1,8 @@
 #pragma once
 
 /// @file
-/// @brief What speaks for work that crashes the workers that start it, and on which of several a crash is
-/// blamed.
+/// @brief Evidence that a task crashes the workers that run it, and attribution of a crash to one of several
+///        tasks.
 
 #include <algorithm>
 #include <cstdint>
@@ -12,35 +12,36 @@
 namespace plumspoke::jobs
 {
 
-/// @brief What a run's end tells of whether its task crashes workers.
+/// @brief What the end of a run indicates about whether its task crashes workers.
 enum class crash_sign : std::uint8_t
 {
     none = 0,
-    counted = 1, // its worker crashed, or fell silent on all ways; something else may explain it
-    blamed = 2,  // its worker crashed, and nothing explains that better
-    cleared = 3, // its worker bore it for so long that earlier crashes were not its task's doing
+    counted = 1, // its worker crashed, or became unreachable on all connections; there may be another cause
+    blamed = 2,  // its worker crashed, and this task is the most likely cause
+    cleared = 3, // its worker ran it for so long that the task did not cause the earlier crashes
 };
 
-/// @brief What speaks for a task's crashing the workers that start it.
+/// @brief Counts the worker crashes attributed to a task.
 ///
-/// Load that it answers: a task whose worker crashes within 50 ms of each start, and takes some ten sound
-/// tasks along. Without a bound it cost a worker each 3.3 s. The platform allows two starts after the third
-/// crash, so five crashes are the end whatever explains them; three that nothing else explains are enough.
+/// Guards against a task that crashes its worker within 50 ms of each start and takes about ten healthy tasks
+/// down with it. Without a limit it cost one worker every 3.3 s. The platform allows two starts after the
+/// third crash, so a task fails after five crashes whatever their cause; three blamed on the task are enough.
 struct crash_evidence
 {
     static constexpr std::uint32_t max_blamed = 3;
     static constexpr std::uint32_t max_crashes = 5;
 
-    std::uint32_t crashes = 0; // workers that crashed, or vanished, while they had a run of it
-    std::uint32_t blamed = 0;  // of these, crashes that nothing else explains
+    std::uint32_t crashes = 0; // workers that crashed or vanished during a run of the task
+    std::uint32_t blamed = 0;  // of these, the crashes without another likely cause
 
-    /// @brief Whether the task is given up, and its job has failed.
+    /// @brief Whether the task, and with it its job, has failed.
     [[nodiscard]] constexpr bool exceeds_limit() const noexcept
     {
         return blamed >= max_blamed || crashes >= max_crashes;
     }
 
-    constexpr void note(crash_sign sign) noexcept
+    /// @brief Adds the sign of one run's end.
+    constexpr void add(crash_sign sign) noexcept
     {
         if (sign == crash_sign::cleared)
         {
@@ -54,26 +55,26 @@
     bool operator==(const crash_evidence&) const = default;
 };
 
-/// @brief How often those who are blamed for a crash were blamed before; nothing where it can't be told who
-/// is.
-/// @param beside of all that the crashed worker had begun
+/// @brief How often the tasks to blame for a crash were blamed before; nothing if the cause is ambiguous.
+/// @param candidates the evidence of all tasks that the crashed worker had begun
 [[nodiscard]] constexpr std::optional<std::uint32_t>
-max_prior_blame(std::span<const crash_evidence> beside) noexcept
+max_prior_blame(std::span<const crash_evidence> candidates) noexcept
 {
     std::uint32_t most = 0;
-    for (const crash_evidence& one : beside)
+    for (const crash_evidence& one : candidates)
     {
         most = std::max(most, one.blamed);
     }
-    const auto alike = std::count_if(beside.begin(),
-                                     beside.end(),
-                                     [most](const crash_evidence& one)
-                                     {
-                                         return one.blamed == most;
-                                     });
-    // Of two suspects on one worker either may be at fault: both are kept, and apart from now on.
-    const bool can_tell = most == 0 || alike == 1;
-    return can_tell ? std::optional(most) : std::nullopt;
+    const auto with_most = std::count_if(candidates.begin(),
+                                         candidates.end(),
+                                         [most](const crash_evidence& one)
+                                         {
+                                             return one.blamed == most;
+                                         });
+    // With two equal suspects on one worker, either may be the cause: neither is blamed, and they are placed
+    // on different workers from now on.
+    const bool is_unambiguous = most == 0 || with_most == 1;
+    return is_unambiguous ? std::optional(most) : std::nullopt;
 }
 
 } // namespace plumspoke::jobs
--- a/include/plumspoke/jobs/early_cancels.hpp
+++ b/include/plumspoke/jobs/early_cancels.hpp
@@ -12,18 +12,18 @@
 namespace plumspoke::jobs
 {
 
-/// @brief Ids whose cancel was recorded while no such job existed.
-/// @note A submit may still be on its way then: held by an entry that retries it, or by a leader that was
-///       replaced. Entries expire, so that cancels of jobs that never come use a bounded amount of memory.
+/// @brief The ids of cancels that were recorded while no such job existed.
+/// @note The submit may still be in flight, at an entry that retries it or at a former leader. Entries expire
+///       so that cancels of jobs that are never submitted use a bounded amount of memory.
 class early_cancels
 {
   public:
-    /// @brief Records a cancel, or renews it, and drops entries that have expired.
-    /// @param at_ms time of day of the cancel, from its command
-    /// @complexity Logarithmic, and constant for each entry that is dropped.
+    /// @brief Adds or renews a cancel and removes expired entries.
+    /// @param at_ms time of the cancel from its command, in milliseconds since 1970
+    /// @complexity Logarithmic, plus constant for each entry removed.
     void add(const job_id& id, std::int64_t at_ms);
 
-    /// @return whether there was an entry
+    /// @return whether the id had an entry
     bool erase(const job_id& id);
 
     void clear() noexcept;
@@ -41,7 +41,7 @@
         std::int64_t at_ms = 0;
     };
 
-    void drop_expired(std::int64_t now_ms);
+    void remove_expired(std::int64_t now_ms);
 
     std::map<std::uint64_t, entry> by_age_;
     std::map<job_id, std::uint64_t> positions_; // in by_age_
--- a/include/plumspoke/jobs/job_id.hpp
+++ b/include/plumspoke/jobs/job_id.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief The name of a job as a key: a short text that is copied and compared without an allocation.
+/// @brief A job id: a short string that is copied and compared without allocation.
 
 #include <algorithm>
 #include <array>
@@ -17,7 +17,7 @@
 namespace plumspoke::jobs
 {
 
-/// @brief Names a job, in the order of its text.
+/// @brief Identifies a job; ordered lexicographically by its bytes.
 class job_id
 {
   public:
@@ -27,21 +27,21 @@
     /// @{
     constexpr job_id() noexcept = default;
 
-    /// @throw std::length_error where the text is longer than `max_size`
-    // NOLINTNEXTLINE(google-explicit-constructor): an id is a text
+    /// @throw std::length_error if the text is longer than `max_size` bytes
+    // NOLINTNEXTLINE(google-explicit-constructor): implicit by design, an id is a string
     job_id(std::string_view text) : size_(static_cast<std::uint8_t>(text.size()))
     {
         if (!fits(text))
         {
-            throw std::length_error("a job's id is too long");
+            throw std::length_error("job id is longer than 64 bytes");
         }
         std::memcpy(text_.data(), text.data(), text.size());
     }
-    // NOLINTNEXTLINE(google-explicit-constructor): an id is a text
+    // NOLINTNEXTLINE(google-explicit-constructor): implicit by design, an id is a string
     job_id(const std::string& text) : job_id(std::string_view(text))
     {
     }
-    // NOLINTNEXTLINE(google-explicit-constructor): an id is a text
+    // NOLINTNEXTLINE(google-explicit-constructor): implicit by design, an id is a string
     job_id(const char* text) : job_id(std::string_view(text))
     {
     }
@@ -57,7 +57,7 @@
     {
         return {text_.data(), size_};
     }
-    // NOLINTNEXTLINE(google-explicit-constructor): an id is a text
+    // NOLINTNEXTLINE(google-explicit-constructor): implicit by design, an id is a string
     operator std::string_view() const noexcept
     {
         return view();
@@ -78,7 +78,7 @@
     }
     friend std::strong_ordering operator<=>(const job_id& left, const job_id& right) noexcept
     {
-        // Most ids are not longer than two words.
+        // Most ids fit into two words.
         for (const std::size_t at : {std::size_t{0}, word_size})
         {
             if (const auto order = left.word(at) <=> right.word(at); std::is_neq(order))
@@ -100,7 +100,7 @@
   private:
     static constexpr std::size_t word_size = sizeof(std::uint64_t);
 
-    /// @brief Some bytes as a number that has the order of their text.
+    /// @brief Eight bytes as a number whose order is the lexicographic order of the bytes.
     [[nodiscard]] std::uint64_t word(std::size_t at) const noexcept
     {
         std::uint64_t out = 0;
--- a/include/plumspoke/jobs/job_state_machine.hpp
+++ b/include/plumspoke/jobs/job_state_machine.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief The store as the replicated log sees it, behind one mutex.
+/// @brief The replicated state machine of the jobs: the store behind a mutex.
 
 #include "plumspoke/jobs/store.hpp"
 #include "plumspoke/replica/driver.hpp"
@@ -12,7 +12,7 @@
 namespace plumspoke::jobs
 {
 
-/// @brief Applies commands; other threads read under the lock.
+/// @brief Applies committed commands to the store. Thread-safe.
 class job_state_machine final : public replica::state_machine
 {
   public:
@@ -20,8 +20,8 @@
     [[nodiscard]] std::string save() const override;
     void restore(std::string_view saved) override;
 
-    /// @name with a limit
-    /// @note A decision of the leader's loop reads under the lock and may last.
+    /// @name with a timeout
+    /// @note Decisions of the leader's loop read the state under the lock and may take long.
     /// @{
     std::optional<std::string>
     try_apply(replica::log_index index, std::string_view command, duration limit) override;
--- a/include/plumspoke/jobs/model.hpp
+++ b/include/plumspoke/jobs/model.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief Jobs made of steps, each step of many tasks; queues that take them; how runs end.
+/// @brief The data model: jobs made of steps, steps made of tasks, queues, and runs of tasks.
 
 #include "plumspoke/fleet/worker_life.hpp"
 #include "plumspoke/jobs/crash_evidence.hpp"
@@ -19,7 +19,7 @@
 namespace plumspoke::jobs
 {
 
-/// @brief What a task needs, or what a worker has.
+/// @brief The resources that a task requires, or that a worker provides.
 struct resources
 {
     std::int64_t cpu_milli = 0; // thousandths of a core
@@ -32,85 +32,85 @@
     bool operator==(const resources&) const = default;
 };
 
-/// @brief Equal tasks that wait for the same earlier steps.
+/// @brief A step: identical tasks with the same dependencies.
 struct step_spec
 {
     std::uint32_t task_count = 1;
-    resources needs;               // of each task
-    std::uint32_t estimate_ms = 0; // the submitter's guess, often far off
-    std::vector<std::uint32_t> after;
-    bool saves_progress = false;
-    bool gang = false;        // all or none: one attempt, one checkpoint
-    bool single_rack = false; // slower when its tasks are on several racks
+    resources needs;                  // of each task
+    std::uint32_t estimate_ms = 0;    // the submitter's estimate of a task's duration, often inaccurate
+    std::vector<std::uint32_t> after; // indexes of the steps it depends on
+    bool saves_progress = false;      // a new run resumes from the last progress
+    bool gang = false;                // all tasks run together, with a common attempt and checkpoint
+    bool single_rack = false;         // its tasks are slower if they run on several racks
     std::string required_label;
-    std::string data_rack;            // slower on any other rack
+    std::string data_rack;            // tasks are slower on any other rack
     std::uint32_t max_per_worker = 0; // 0: no limit
-    bool copies_allowed = false;
-    bool lasting = false; // runs until the job is cancelled
+    bool copies_allowed = false;      // a straggler may get a second, concurrent run
+    bool lasting = false;             // runs until the job is cancelled
     std::string image;
-    std::uint32_t tail_target_ms = 0; // of a lasting task that serves users of its own
-    bool filler = false;              // takes what others leave; its processors are not counted
-    std::uint32_t max_away = 0;       // lasting: may be away at once by our doing; 0: no limit
+    std::uint32_t tail_target_ms = 0; // latency target of a lasting task that serves users; 0: none
+    bool filler = false;              // best effort: uses spare processors, which are not reserved for it
+    std::uint32_t max_away = 0;       // lasting: tasks that the scheduler may interrupt at once; 0: no limit
 
     bool operator==(const step_spec&) const = default;
 };
 
-/// @brief What a submitter asks for: steps, and when they run.
+/// @brief A job's specification: its steps and when they run.
 struct job_spec
 {
-    std::string payload; // opaque; handed to each task
+    std::string payload; // opaque; passed to each task
     std::vector<step_spec> steps;
-    std::uint32_t repeat_count = 0; // 0: once, at once
-    std::int64_t first_due_ms = 0;  // since 1970
+    std::uint32_t repeat_count = 0; // 0: run once, immediately
+    std::int64_t first_due_ms = 0;  // milliseconds since 1970
     std::int64_t interval_ms = 0;
 
     bool operator==(const job_spec&) const = default;
 };
 
-/// @brief Why a job's description can't be run, or nothing.
-/// @return a short sentence that names the step
+/// @brief Validates a job's specification.
+/// @return a short description of the first error, which names the step; nothing if it is valid
 [[nodiscard]] std::optional<std::string> find_spec_error(const job_spec& spec);
 
-/// @brief A queue as the configuration states it.
+/// @brief A queue of the configuration.
 struct queue
 {
     std::string name;
     std::string host;
     std::string path_prefix;
     std::string service;
-    std::uint32_t priority = 0;     // 0 goes first
-    std::uint32_t max_failures = 1; // of one task, until its job has failed
-    double objective_factor = 1;    // times the longest chain of work
-    std::uint32_t objective_extra_ms = 0;
+    std::uint32_t priority = 0;           // 0 is the highest
+    std::uint32_t max_failures = 1;       // of one task; at this number its job fails
+    double objective_factor = 1;          // completion target: multiple of the job's critical path
+    std::uint32_t objective_extra_ms = 0; // added to the completion target
     std::uint32_t timeout_ms = 0;
     bool tickets = false;
 
     bool operator==(const queue&) const = default;
 };
 
-/// @brief A pool of workers as the configuration states it.
+/// @brief A pool of workers of the configuration.
 struct pool_service
 {
     std::string name;
-    bool workers_check_room = true; // false: workers start whatever they are told
+    bool workers_check_room = true; // false: workers start tasks without checking their resources
     bool spare_pool = false;
 };
 
-/// @brief A whole configuration; the highest version holds.
+/// @brief A complete configuration; the highest version is in force.
 struct configuration
 {
     std::uint64_t version = 0;
     std::vector<queue> queues;
     std::vector<pool_service> services;
     std::uint32_t max_body_bytes = 0; // 0: no limit
-    std::string document;             // as the operator sent it; read back unchanged
+    std::string document;             // as sent by the operator; returned unchanged
 
-    /// @brief The queue with this host and the longest prefix of this path.
+    /// @brief The queue with this host and the longest matching prefix of this path, if any.
     /// @complexity Linear in the number of queues.
     [[nodiscard]] const queue* find_queue(std::string_view host, std::string_view path) const noexcept;
 };
 
-/// @brief Names one task of one occurrence of a job.
+/// @brief Identifies a task of one occurrence of a job.
 struct task_name
 {
     job_id job;
@@ -126,7 +126,7 @@
     }
 };
 
-/// @brief Names one run of a task.
+/// @brief Identifies a run of a task.
 struct run_name
 {
     task_name task;
@@ -139,21 +139,21 @@
     }
 };
 
-/// @brief How a run ended, as far as control knows.
+/// @brief How a run ended, as known to the control VMs.
 enum class run_end : std::uint8_t
 {
     done = 0,
-    failed = 1,    // counts against the task's budget
-    stopped = 2,   // by our order
-    lapsed = 3,    // its lease ran out
+    failed = 1,    // counts towards queue::max_failures
+    stopped = 2,   // on a stop order
+    lapsed = 3,    // its lease expired
     broken = 4,    // another member of its gang ended
-    alone = 5,     // its gang did not come together
-    lost = 6,      // its worker has left, or doesn't list it any more
-    not_begun = 7, // the order surely had no effect and never will
-    crashed = 8,   // its worker crashed: another life answers at the address
+    alone = 5,     // its gang was never complete
+    lost = 6,      // its worker has left, or no longer reports it
+    not_begun = 7, // the start order had no effect and never will
+    crashed = 8,   // its worker crashed: another incarnation answers at its address
 };
 
-/// @brief How far a task is.
+/// @brief The state of a task.
 enum class task_phase : std::uint8_t
 {
     waiting = 0,
@@ -161,7 +161,7 @@
     done = 2,
 };
 
-/// @brief How far a job is; the last three are final.
+/// @brief The state of a job; the last three are final.
 enum class job_phase : std::uint8_t
 {
     queued = 0,
@@ -177,41 +177,41 @@
     return phase == job_phase::completed || phase == job_phase::failed || phase == job_phase::cancelled;
 }
 
-/// @brief A run that may be going on somewhere: recorded before its order is sent.
+/// @brief A run that may be in progress; recorded before its start order is sent.
 struct run
 {
     std::uint32_t attempt = 0;
     fleet::worker_life worker;
-    std::string address; // where that life is reached
+    std::string address; // of that worker's incarnation
 };
 
-/// @brief One task of a step, as recorded.
+/// @brief The state of one task of a step.
 struct task
 {
     task_phase phase = task_phase::waiting;
     std::uint32_t failures = 0;
     std::uint32_t last_attempt = 0;
     crash_evidence evidence;
-    std::string saved; // progress as last recorded; empty: none
+    std::string saved; // last recorded progress; empty: none
     std::vector<run> runs;
 };
 
-/// @brief The tasks of one step, as recorded.
+/// @brief The state of one step.
 struct step
 {
     std::vector<task> tasks;
     std::uint32_t done = 0;
-    std::set<std::uint32_t> failed_attempts; // of a gang, which fails as a whole
+    std::set<std::uint32_t> failed_attempts; // of a gang, whose tasks fail together
 };
 
-/// @brief One time at which a job's steps run.
+/// @brief One execution of all steps of a job.
 struct occurrence
 {
     std::uint32_t number = 0;
     std::vector<step> steps;
 };
 
-/// @brief The images of a serving task and of a filler beside it.
+/// @brief The images of a serving task and of a filler on the same worker.
 struct image_pair
 {
     std::string serving;
@@ -224,32 +224,33 @@
     }
 };
 
-/// @brief What leaders have learned of two images, so that the next leader need not learn it by doing harm.
+/// @brief The measured interference of a filler image with a serving image. It is replicated so that a new
+///        leader need not slow down serving tasks to measure it again.
 struct learned_effect
 {
     image_pair images;
-    std::int64_t effect_milli = 0;   // thousandths of slack that one filler at full pace takes
-    std::int64_t evidence_milli = 0; // thousandths of a report
+    std::int64_t effect_milli = 0;   // thousandths of the latency slack consumed by one filler at full speed
+    std::int64_t evidence_milli = 0; // thousandths of a report; the weight of the measurement
 
     bool operator==(const learned_effect&) const = default;
 };
 
-/// @brief A job as recorded: what was asked for, and how far it is.
+/// @brief The state of a job: its specification and its progress.
 struct job
 {
     job_id id;
-    queue source_queue; // as it stood when the job was accepted
+    queue source_queue; // as configured when the job was accepted
     job_spec spec;
     job_phase phase = job_phase::queued;
-    bool granted = false; // a run has been recorded once; its order may have reached nobody
+    bool granted = false; // a run was recorded; its start order may not have reached a worker
     bool begun = false;   // a worker has begun a task
     std::int64_t accepted_at_ms = 0;
     std::int64_t ended_at_ms = 0;
-    std::uint64_t order = 0; // of acceptance
+    std::uint64_t order = 0; // sequence number of acceptance
     std::map<std::uint32_t, occurrence> occurrences;
     std::uint32_t occurrences_done = 0;
 
-    /// @brief Whether all steps before this one are done.
+    /// @brief Whether all steps that this one depends on are done.
     [[nodiscard]] bool is_ready(const occurrence& at, std::uint32_t step) const noexcept;
     [[nodiscard]] bool has_lasting_step() const noexcept;
     [[nodiscard]] std::uint32_t occurrence_count() const noexcept
--- a/include/plumspoke/jobs/store.hpp
+++ b/include/plumspoke/jobs/store.hpp
@@ -1,7 +1,8 @@
 #pragma once
 
 /// @file
-/// @brief The replicated state of jobs and configuration: commands in, answers out; no clock, no chance.
+/// @brief The replicated state of jobs and configuration. Applying commands is deterministic: it uses neither
+///        a clock nor randomness.
 
 #include "plumspoke/jobs/early_cancels.hpp"
 #include "plumspoke/jobs/model.hpp"
@@ -14,13 +15,13 @@
 namespace plumspoke::jobs
 {
 
-/// @brief Takes a configuration in, where its version is above the present one.
+/// @brief Puts a configuration in force if its version is higher than the current one.
 struct configure
 {
     configuration value;
 };
 
-/// @brief Takes a job in; the same id again changes nothing.
+/// @brief Accepts a job; submitting the same id again has no effect.
 struct submit
 {
     job_id id;
@@ -29,15 +30,15 @@
     std::int64_t at_ms = 0;
 };
 
-/// @brief Cancels a job, unless it has ended.
-/// @note Of an id that is not known it is kept: a submit that comes later is cancelled at once.
+/// @brief Cancels a job that has not ended.
+/// @note The cancel of an unknown id is stored, and a later submit of that id is cancelled at once.
 struct cancel
 {
     job_id id;
     std::int64_t at_ms = 0;
 };
 
-/// @brief A grant, recorded before its order is sent.
+/// @brief A run assigned to a worker; committed before its start order is sent.
 struct run_started
 {
     run_name name;
@@ -45,30 +46,30 @@
     std::string address;
 };
 
-/// @brief A run that is surely over.
+/// @brief A run that has certainly ended.
 struct run_ended
 {
     run_name name;
     run_end how = run_end::lost;
-    std::string saved; // the task's progress; empty: not known or none
+    std::string saved; // the task's progress; empty: unknown or none
     crash_sign sign = crash_sign::none;
 };
 
-/// @brief An occurrence of a repeated job has fallen due.
+/// @brief An occurrence of a repeated job that is due.
 struct occurrence_due
 {
     job_id id;
     std::uint32_t number = 0;
 };
 
-/// @brief What a leader decided and learned in one round; ends are applied first.
+/// @brief The decisions and observations of a leader in one round; ends are applied first.
 struct round
 {
     std::vector<run_ended> ends;
     std::vector<run_started> starts;
     std::vector<occurrence_due> due;
     std::vector<job_id> forgotten;
-    std::vector<learned_effect> learned; // newer values of these pairs
+    std::vector<learned_effect> learned; // replace the values of these pairs
     std::vector<job_id> begun;           // jobs of which a worker has begun a task
     std::int64_t at_ms = 0;
 
@@ -81,22 +82,22 @@
 
 using command = std::variant<configure, submit, cancel, round>;
 
-/// @brief How a request ended, for a caller or an operator.
+/// @brief The outcome of a request of a caller or an operator.
 enum class outcome : std::uint8_t
 {
     accepted = 0,
-    known = 1,         // accepted before; nothing changed
-    unknown_job = 2,   // there is no such job
+    known = 1,         // already accepted; nothing changed
+    unknown_job = 2,   // no job has this id
     unknown_queue = 3, // no queue has this host and path
-    unconfigured = 4,  // no configuration yet
+    unconfigured = 4,  // there is no configuration yet
     invalid = 5,
     too_large = 6,
-    refused = 7,     // not taken, and surely never will be
-    undecided = 8,   // it may have been taken
-    not_leading = 9, // nothing was done here
+    refused = 7,     // not accepted, and certainly never will be
+    undecided = 8,   // possibly accepted
+    not_leading = 9, // this process does not lead; nothing was done
 };
 
-/// @brief What a command came to.
+/// @brief The result of applying a command.
 struct command_answer
 {
     outcome result = outcome::accepted;
@@ -124,13 +125,13 @@
         return jobs_;
     }
 
-    /// @brief Jobs that have not ended, in the order of acceptance.
+    /// @brief Jobs that have not ended, by sequence number of acceptance.
     [[nodiscard]] const std::map<std::uint64_t, job*>& live() const noexcept
     {
         return live_;
     }
 
-    /// @brief Ended jobs with runs that are not known to be over.
+    /// @brief Ended jobs with runs that may still be in progress.
     [[nodiscard]] const std::set<job_id>& ended_with_runs() const noexcept
     {
         return ended_with_runs_;
@@ -138,23 +139,23 @@
 
     [[nodiscard]] const task* find(const task_name& name) const noexcept;
 
-    /// @brief Accepted jobs of a queue of which no worker is known to have begun a task.
+    /// @brief The number of live jobs of a queue of which no worker is known to have begun a task.
     /// @complexity Linear in the number of live jobs.
     [[nodiscard]] std::uint32_t pending(const queue& of) const noexcept;
 
-    /// @brief Cancels of jobs that were not known.
+    /// @brief Cancels recorded before the submit of their job.
     [[nodiscard]] const early_cancels& cancelled_early() const noexcept
     {
         return early_cancels_;
     }
 
-    /// @brief What leaders have learned of images, at most `max_learned_effects` pairs.
+    /// @brief Measured interference between images, at most `max_learned_effects` pairs.
     [[nodiscard]] const std::map<image_pair, learned_effect>& learned() const noexcept
     {
         return learned_;
     }
 
-    /// @brief Grows with each change that may make a task ready or free a worker.
+    /// @brief Increases with each change that may make a task ready or free a worker.
     [[nodiscard]] std::uint64_t revision() const noexcept
     {
         return revision_;
@@ -165,7 +166,7 @@
     /// @{
     [[nodiscard]] std::string save() const;
 
-    /// @return false where the bytes can't be read; the store is left empty then
+    /// @return false if the bytes are malformed; the store is empty then
     [[nodiscard]] bool restore(std::string_view saved);
     /// @}
 
--- a/src/control/state_jobs.cpp
+++ b/src/control/state_jobs.cpp
@@ -220,7 +220,7 @@
 void lose_task(control_state& state, job& lost, const std::string& reason, jobs::crash_sign sign)
 {
     ++state.counters.tasks_lost;
-    lost.evidence.note(sign);
+    lost.evidence.add(sign);
     if (sign == jobs::crash_sign::blamed)
     {
         note_failed_on(lost, lost.live->worker);
--- a/src/dispatch/answers.cpp
+++ b/src/dispatch/answers.cpp
@@ -546,7 +546,7 @@
     const jobs::crash_sign told = ran_long ? jobs::crash_sign::cleared : sign;
     pending_ends_.push_back({of.name, how, saved, told});
     jobs::crash_evidence evidence = of.evidence;
-    evidence.note(told);
+    evidence.add(told);
     if (evidence.exceeds_limit())
     {
         ++counts_.tasks_given_up;
--- a/src/jobs/early_cancels.cpp
+++ b/src/jobs/early_cancels.cpp
@@ -6,7 +6,7 @@
 namespace
 {
 
-constexpr std::int64_t retention_ms = 120'000; // exceeds any request deadline and any pause of a VM
+constexpr std::int64_t retention_ms = 120'000; // exceeds any request deadline and any freeze of a VM
 constexpr std::size_t max_entries = 10'000;
 
 } // namespace
@@ -17,7 +17,7 @@
     by_age_[next_position_] = {id, at_ms};
     positions_[id] = next_position_;
     ++next_position_;
-    drop_expired(at_ms);
+    remove_expired(at_ms);
 }
 
 bool early_cancels::erase(const job_id& id)
@@ -56,7 +56,7 @@
     }
 }
 
-void early_cancels::drop_expired(std::int64_t now_ms)
+void early_cancels::remove_expired(std::int64_t now_ms)
 {
     while (!by_age_.empty())
     {
--- a/src/jobs/job_state_machine.cpp
+++ b/src/jobs/job_state_machine.cpp
@@ -70,7 +70,7 @@
 void job_state_machine::restore_locked(std::string_view saved)
 {
     const bool readable = store_.restore(saved);
-    PLUMSPOKE_ASSERT(readable); // its check sum was right, so only a wrong version could do this
+    PLUMSPOKE_ASSERT(readable); // its checksum was correct, so only an incompatible version fails here
 }
 
 } // namespace plumspoke::jobs
--- a/src/jobs/model.cpp
+++ b/src/jobs/model.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-// A guard against one job that fills the whole state: ten times the widest job of the users' plans.
+// Limits the state that one job can occupy: ten times the widest job that users plan.
 constexpr std::uint32_t max_tasks_per_step = 10'000;
 constexpr std::size_t max_steps = 1'000;
 constexpr std::uint32_t max_repeats = 100'000;
@@ -73,9 +73,9 @@
     }
     for (std::size_t i = 0; i < spec.steps.size(); ++i)
     {
-        if (std::optional<std::string> fault = find_step_error(spec.steps[i], i))
+        if (std::optional<std::string> error = find_step_error(spec.steps[i], i))
         {
-            return fault;
+            return error;
         }
     }
     return std::nullopt;
--- a/src/jobs/store.cpp
+++ b/src/jobs/store.cpp
@@ -8,9 +8,9 @@
 namespace
 {
 
-// Pairs of images: some 100 KB; the users' services have 45 pairs.
+// Pairs of images: about 100 KB; the users' services have 45 pairs.
 constexpr std::size_t max_learned_effects = 2000;
-constexpr std::size_t max_copies = 2; // a copy for a straggler; a third gains nothing
+constexpr std::size_t max_copies = 2; // one copy for a straggler; a third run brings no further gain
 
 bool has_runs(const job& one)
 {
@@ -30,7 +30,7 @@
     return false;
 }
 
-/// @brief Whether only a worker that had begun a run can have told this end of it.
+/// @brief Whether this end implies that a worker had begun the run.
 constexpr bool implies_begun(run_end how) noexcept
 {
     return how == run_end::done || how == run_end::failed || how == run_end::broken || how == run_end::alone;
@@ -70,7 +70,7 @@
     {
         return nullptr;
     }
-    return find_task(const_cast<job&>(found->second), name); // read only; one walk for both forms
+    return find_task(const_cast<job&>(found->second), name); // does not modify the job
 }
 
 std::uint32_t store::pending(const queue& of) const noexcept
@@ -254,7 +254,7 @@
     found->phase = task_phase::running;
     found->last_attempt = started.name.attempt;
     found->runs.push_back({started.name.attempt, started.worker, started.address});
-    // The order isn't sent yet and may reach nobody: the job waits until a worker is known to have begun it.
+    // The order is not sent yet and may not reach a worker: the job stays queued until a worker has begun it.
     of->granted = true;
     return true;
 }
@@ -283,7 +283,7 @@
                                               });
     if (removed == 0)
     {
-        return; // counted already
+        return; // already applied
     }
     if (implies_begun(ended.how))
     {
@@ -325,7 +325,7 @@
             at.steps[ended.name.task.step].failed_attempts.insert(ended.name.attempt);
         }
     }
-    ending.evidence.note(ended.sign);
+    ending.evidence.add(ended.sign);
     ending.phase = ending.runs.empty() ? task_phase::waiting : task_phase::running;
     if (!ended.saved.empty())
     {
@@ -339,7 +339,7 @@
     const bool gang = of.spec.steps[ended.name.task.step].gang;
     for (std::uint32_t i = 0; i < in.tasks.size(); ++i)
     {
-        // The end of one member of a gang stands for all of them.
+        // When one member of a gang is done, all of them are.
         if ((gang || i == ended.name.task.index) && in.tasks[i].phase != task_phase::done)
         {
             in.tasks[i].phase = task_phase::done;
@@ -365,8 +365,8 @@
     {
         return false;
     }
-    // Only ends "failed" counted once, and a task that crashed its workers never ends so: it was granted
-    // again without end.
+    // Crashes are checked separately: a task that crashes its workers never ends as `failed`, so without this
+    // check it would be started again forever.
     if (ended.evidence.exceeds_limit())
     {
         return true;
@@ -395,8 +395,8 @@
         return;
     }
     ended_with_runs_.erase(of.id);
-    // Only its state is asked for from now on. Kept whole, the jobs of the last minutes are most of a
-    // snapshot, and a lost disk comes back after as long as a snapshot's way takes.
+    // From now on only the job's state is read. Complete, the jobs that ended in the last minutes would make
+    // up most of a snapshot and delay the recovery of a lost disk, which has to transfer it.
     of.spec = {};
     of.occurrences.clear();
 }
