--- a/tests/src/unit-cancel_of_undecided.cpp
+++ b/tests/src/unit-cancel_of_undecided.cpp
@@ -1,9 +1,9 @@
 /// @file
-/// @brief The cancel of a job whose record is still on its way.
+/// @brief The cancel of a job whose submit is in flight.
 ///
-/// Sequence: a caller's submit gets no certain answer in time, so the caller cancels the job. The leader
-/// looks for it in the applied state, where it isn't yet, and says that there is no such job, which ends the
-/// matter for the caller. Then the record is committed, and the job runs.
+/// Guards against a job that runs after its cancel was answered. A submit gets no definite answer in time, so
+/// the caller cancels the job. The leader looked it up only in the applied state, did not find it and
+/// answered that it does not exist; then the submit was committed, and the job ran.
 
 #include "plumspoke/job_server/control_server.hpp"
 
@@ -21,11 +21,11 @@
 namespace
 {
 
-constexpr auto call_limit = milliseconds(3000);
-constexpr std::size_t slow_payload_bytes = 8U << 20U; // its record takes longer than the submit waits
+constexpr auto call_timeout = milliseconds(3000);
+constexpr std::size_t slow_payload_bytes = 8U << 20U; // committing it takes longer than the submit waits
 constexpr int tries = 10;
 
-/// @brief A leader on its own, and its caller.
+/// @brief A single control VM, which leads, and a client.
 class fixture
 {
   public:
@@ -58,7 +58,7 @@
         *request.mutable_spec() = jobs::to_wire(spec);
         request.set_limit_ms(static_cast<std::uint32_t>(limit.count()));
         grpc::ClientContext context;
-        job_server::set_timeout(context, call_limit);
+        job_server::set_timeout(context, call_timeout);
         wire::JobReply reply;
         REQUIRE(channel_->stub().Submit(&context, request, &reply).ok());
         return static_cast<jobs::outcome>(reply.outcome());
@@ -67,18 +67,18 @@
     [[nodiscard]] jobs::outcome cancel(const std::string& id)
     {
         grpc::ClientContext context;
-        job_server::set_timeout(context, call_limit);
+        job_server::set_timeout(context, call_timeout);
         wire::JobReply reply;
-        REQUIRE(channel_->stub().Cancel(&context, request_of(id), &reply).ok());
+        REQUIRE(channel_->stub().Cancel(&context, make_request(id), &reply).ok());
         return static_cast<jobs::outcome>(reply.outcome());
     }
 
     [[nodiscard]] wire::JobReply state(const std::string& id)
     {
         grpc::ClientContext context;
-        job_server::set_timeout(context, call_limit);
+        job_server::set_timeout(context, call_timeout);
         wire::JobReply reply;
-        REQUIRE(channel_->stub().State(&context, request_of(id), &reply).ok());
+        REQUIRE(channel_->stub().State(&context, make_request(id), &reply).ok());
         return reply;
     }
 
@@ -88,7 +88,7 @@
         return {};
     }
 
-    [[nodiscard]] static wire::JobRequest request_of(const std::string& id)
+    [[nodiscard]] static wire::JobRequest make_request(const std::string& id)
     {
         wire::JobRequest request;
         request.set_host("host");
@@ -114,7 +114,7 @@
         {
             std::this_thread::sleep_for(milliseconds(50)); // until it leads
             grpc::ClientContext context;
-            job_server::set_timeout(context, call_limit);
+            job_server::set_timeout(context, call_timeout);
             (void)channel_->stub().Configure(&context, request, &reply);
         }
         REQUIRE(reply.durable());
@@ -136,7 +136,7 @@
 
 } // namespace
 
-TEST_CASE("a job whose submit was undecided does not stay open once its cancel is answered")
+TEST_CASE("a job with an undecided submit does not stay open once its cancel is answered")
 {
     fixture f;
     int undecided = 0;
@@ -149,13 +149,13 @@
             continue;
         }
         ++undecided;
-        const jobs::outcome told = f.cancel(id);
-        std::this_thread::sleep_for(milliseconds(500)); // the record is committed
-        const bool is_answered = told == jobs::outcome::accepted || told == jobs::outcome::unknown_job;
+        const jobs::outcome result = f.cancel(id);
+        std::this_thread::sleep_for(milliseconds(500)); // time for the submit to be committed
+        const bool is_answered = result == jobs::outcome::accepted || result == jobs::outcome::unknown_job;
         still_open += is_answered && is_open(f.state(id)) ? 1 : 0;
     }
     REQUIRE(undecided > 0);
-    INFO(still_open << " of " << undecided << " jobs are open after their cancel was answered");
+    INFO(still_open << " of " << undecided << " jobs are still open after their cancel was answered");
     CHECK(still_open == 0);
 }
 
@@ -164,11 +164,11 @@
     fixture f;
     REQUIRE(f.cancel("job") == jobs::outcome::unknown_job);
     CHECK(static_cast<jobs::outcome>(f.state("job").outcome()) == jobs::outcome::unknown_job);
-    REQUIRE(f.submit("job", call_limit) == jobs::outcome::accepted);
+    REQUIRE(f.submit("job", call_timeout) == jobs::outcome::accepted);
     CHECK(static_cast<jobs::job_phase>(f.state("job").phase()) == jobs::job_phase::cancelled);
 }
 
-TEST_CASE("a job whose record is on its way is not said to be unknown")
+TEST_CASE("a job whose submit is in flight is not reported as unknown")
 {
     fixture f;
     int undecided = 0;
@@ -179,7 +179,7 @@
         if (f.submit(id, milliseconds(1)) == jobs::outcome::undecided)
         {
             ++undecided;
-            const time_point end = std::chrono::steady_clock::now() + call_limit;
+            const time_point end = std::chrono::steady_clock::now() + call_timeout;
             wire::JobReply seen = f.state(id);
             while (seen.outcome() == static_cast<std::uint32_t>(jobs::outcome::undecided) &&
                    std::chrono::steady_clock::now() < end)
--- a/tests/src/unit-combined_outcome.cpp
+++ b/tests/src/unit-combined_outcome.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief What a caller is told after several attempts.
+/// @brief The outcome reported to a caller after several attempts.
 
 #include "plumspoke/job_server/combined_outcome.hpp"
 
@@ -8,14 +8,15 @@
 using namespace plumspoke;
 using job_server::combined_outcome;
 
-TEST_CASE("not taken is said only where no attempt may have been taken")
+TEST_CASE("refused is reported only if no attempt may have been accepted")
 {
     using jobs::outcome;
     CHECK(combined_outcome(outcome::refused, false) == outcome::refused);
     CHECK(combined_outcome(outcome::refused, true) == outcome::undecided);
-    for (const outcome sure : {outcome::accepted, outcome::known, outcome::unknown_queue, outcome::undecided})
+    for (const outcome definite :
+         {outcome::accepted, outcome::known, outcome::unknown_queue, outcome::undecided})
     {
-        CHECK(combined_outcome(sure, true) == sure);
-        CHECK(combined_outcome(sure, false) == sure);
+        CHECK(combined_outcome(definite, true) == definite);
+        CHECK(combined_outcome(definite, false) == definite);
     }
 }
--- a/tests/src/unit-early_cancels.cpp
+++ b/tests/src/unit-early_cancels.cpp
@@ -23,21 +23,21 @@
 
 } // namespace
 
-TEST_CASE("a job that was cancelled before its submit never runs")
+TEST_CASE("a job that is cancelled before its submit never runs")
 {
     store of;
     REQUIRE(of.apply(cancel{"a", 1000}).result == outcome::unknown_job);
     CHECK(of.find("a") == nullptr);
 
-    SECTION("where the submit comes next")
+    SECTION("if the submit follows directly")
     {
     }
-    SECTION("where a snapshot comes first")
+    SECTION("if a snapshot is restored in between")
     {
         const std::string saved = of.save();
         REQUIRE(of.restore(saved));
     }
-    SECTION("where the cancel is sent again")
+    SECTION("if the cancel is repeated")
     {
         REQUIRE(of.apply(cancel{"a", 2000}).result == outcome::unknown_job);
         CHECK(of.cancelled_early().size() == 1);
@@ -50,17 +50,17 @@
     CHECK(of.apply(submit_of("a", 4000)).result == outcome::known);
 }
 
-TEST_CASE("a cancel of a job that never comes is forgotten")
+TEST_CASE("a cancel of a job that is never submitted expires")
 {
     store of;
     REQUIRE(of.apply(cancel{"a", 1000}).result == outcome::unknown_job);
 
-    SECTION("after a while")
+    SECTION("after the retention time")
     {
         REQUIRE(of.apply(cancel{"b", 1'000'000}).result == outcome::unknown_job);
         CHECK(of.cancelled_early().size() == 1);
     }
-    SECTION("where many others are cancelled")
+    SECTION("when there are too many others")
     {
         constexpr int others = 20'000;
         for (int i = 0; i < others; ++i)
--- a/tests/src/unit-in_flight_submits.cpp
+++ b/tests/src/unit-in_flight_submits.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Which jobs are being made durable now.
+/// @brief The registry of submits in flight.
 
 #include "plumspoke/job_server/in_flight_submits.hpp"
 
@@ -8,7 +8,7 @@
 
 using plumspoke::job_server::in_flight_submits;
 
-TEST_CASE("a try of an id knows of others of the same id that are on their way")
+TEST_CASE("a submit detects other submits of the same id in flight")
 {
     in_flight_submits submits;
     auto first = std::make_unique<in_flight_submits::entry>(submits, "a");
--- a/tests/src/unit-jobs_store.cpp
+++ b/tests/src/unit-jobs_store.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The replicated store of jobs: what a command changes, and what a snapshot keeps.
+/// @brief The replicated job store: the effects of commands, and snapshots.
 
 #include "plumspoke/jobs/codec.hpp"
 #include "plumspoke/jobs/store.hpp"
@@ -68,14 +68,14 @@
 
 } // namespace
 
-TEST_CASE("the store keeps one job for an id")
+TEST_CASE("the store keeps one job per id")
 {
     store of;
     CHECK(of.apply(submit_of("a", two_steps())).result == outcome::accepted);
     CHECK(of.apply(submit_of("a", two_steps())).result == outcome::known);
     CHECK(of.all().size() == 1);
 
-    SECTION("and refuses steps that form a loop")
+    SECTION("and rejects steps with cyclic dependencies")
     {
         job_spec loop = two_steps();
         loop.steps[0].after = {1};
@@ -98,7 +98,7 @@
         end(of, first, 2, run_end::lapsed);
         CHECK(of.pending(at) == 0);
     }
-    SECTION("and counts it as pending until a run has ended as only begun ones can")
+    SECTION("and counts it as pending until a run ends in a way that implies it had begun")
     {
         queue at;
         at.host = "h";
@@ -117,23 +117,23 @@
     }
 }
 
-TEST_CASE("the store grants a task once")
+TEST_CASE("the store allows one run of a task at a time")
 {
     store of;
     (void)of.apply(submit_of("a", two_steps()));
     REQUIRE(start(of, first, 1));
 
-    SECTION("not a second time while it may run")
+    SECTION("a second run is rejected while the first may be in progress")
     {
         CHECK_FALSE(start(of, first, 2));
     }
-    SECTION("not under a number that was used")
+    SECTION("an attempt number is not reused")
     {
         end(of, first, 1, run_end::lapsed);
         CHECK_FALSE(start(of, first, 1));
         CHECK(start(of, first, 2));
     }
-    SECTION("not before the steps that it waits for")
+    SECTION("a task is not started before its dependencies are done")
     {
         CHECK_FALSE(start(of, last, 1));
         end(of, first, 1, run_end::done);
@@ -142,12 +142,12 @@
         end(of, second, 1, run_end::done);
         CHECK(start(of, last, 1));
     }
-    SECTION("not after it is done")
+    SECTION("a task is not started again once it is done")
     {
         end(of, first, 1, run_end::done);
         CHECK_FALSE(start(of, first, 2));
     }
-    SECTION("twice where copies are allowed, and not three times")
+    SECTION("two runs are allowed with copies, and no third")
     {
         job_spec spec;
         spec.steps = {step_of(1)};
@@ -160,7 +160,7 @@
     }
 }
 
-TEST_CASE("a job's phase follows its tasks")
+TEST_CASE("the phase of a job follows its tasks")
 {
     store of;
     (void)of.apply(submit_of("a", two_steps()));
@@ -170,11 +170,11 @@
     };
     CHECK(phase() == job_phase::queued);
     REQUIRE(start(of, first, 1));
-    CHECK(phase() == job_phase::queued); // the order may reach nobody
+    CHECK(phase() == job_phase::queued); // the order may not reach a worker
     begin(of, "a");
     CHECK(phase() == job_phase::running);
 
-    SECTION("completed only when all tasks are done")
+    SECTION("it completes only when all tasks are done")
     {
         REQUIRE(start(of, second, 1));
         end(of, first, 1, run_end::done);
@@ -185,7 +185,7 @@
         CHECK(phase() == job_phase::completed);
         CHECK(of.live().empty());
     }
-    SECTION("failed when a task has used up its budget; only failures count")
+    SECTION("it fails at the maximum number of failures of a task; other ends do not count")
     {
         end(of, first, 1, run_end::failed);
         REQUIRE(start(of, first, 2));
@@ -198,17 +198,17 @@
         CHECK(phase() == job_phase::failed);
         CHECK_FALSE(start(of, second, 1));
     }
-    SECTION("cancelled at once, with what still runs remembered until it ends")
+    SECTION("it is cancelled at once, and its open runs are kept until they end")
     {
         CHECK(of.apply(cancel{"a", 2000}).result == outcome::accepted);
         CHECK(phase() == job_phase::cancelled);
         CHECK(of.ended_with_runs().contains("a"));
-        begin(of, "a"); // told late
+        begin(of, "a"); // reported late
         CHECK(phase() == job_phase::cancelled);
         end(of, first, 1, run_end::stopped);
         CHECK(of.ended_with_runs().empty());
     }
-    SECTION("an end that is told twice counts once")
+    SECTION("an end that is reported twice counts once")
     {
         end(of, first, 1, run_end::failed);
         end(of, first, 1, run_end::failed);
@@ -216,14 +216,14 @@
     }
 }
 
-TEST_CASE("a task under which workers crash is given up, and its job has failed")
+TEST_CASE("a job fails if one of its tasks keeps crashing workers")
 {
     store of;
     job_spec spec = two_steps();
     spec.steps[0].lasting = GENERATE(false, true);
     (void)of.apply(submit_of("a", spec));
     std::uint32_t attempt = 0;
-    const auto end_told = [&](run_end how, crash_sign sign)
+    const auto report_end = [&](run_end how, crash_sign sign)
     {
         plumspoke::jobs::round ends;
         ends.ends.push_back({{first, attempt}, how, {}, sign});
@@ -233,14 +233,14 @@
     {
         ++attempt;
         REQUIRE(start(of, first, attempt));
-        end_told(how, sign);
+        report_end(how, sign);
     };
     const auto has_failed = [&of]
     {
         return of.find("a")->phase == job_phase::failed;
     };
 
-    SECTION("after three crashes that nothing else explains")
+    SECTION("after three crashes blamed on the task")
     {
         run_and_end(run_end::crashed, crash_sign::blamed);
         run_and_end(run_end::crashed, crash_sign::blamed);
@@ -248,7 +248,7 @@
         run_and_end(run_end::crashed, crash_sign::blamed);
         CHECK(has_failed());
     }
-    SECTION("after five, whatever explains them")
+    SECTION("after five crashes of any cause")
     {
         run_and_end(run_end::crashed, crash_sign::counted);
         run_and_end(run_end::lapsed, crash_sign::counted);
@@ -258,7 +258,7 @@
         run_and_end(run_end::lapsed, crash_sign::counted);
         CHECK(has_failed());
     }
-    SECTION("also where the state is saved and read back in between")
+    SECTION("also if the state is saved and restored in between")
     {
         run_and_end(run_end::crashed, crash_sign::blamed);
         run_and_end(run_end::crashed, crash_sign::blamed);
@@ -269,7 +269,7 @@
         run_and_end(run_end::crashed, crash_sign::blamed);
         CHECK(has_failed());
     }
-    SECTION("but not for ends that tell nothing of it, however many")
+    SECTION("but not after any number of ends without a sign of a crash")
     {
         for (int i = 0; i < 4; ++i)
         {
@@ -280,7 +280,7 @@
         }
         CHECK_FALSE(has_failed());
     }
-    SECTION("but not where a run in between clears it")
+    SECTION("but not if a run in between clears the task")
     {
         run_and_end(run_end::crashed, crash_sign::blamed);
         run_and_end(run_end::crashed, crash_sign::blamed);
@@ -288,15 +288,15 @@
         CHECK(of.find(first)->evidence == crash_evidence{});
         CHECK_FALSE(has_failed());
     }
-    SECTION("and a crash that is told twice counts once")
+    SECTION("and a crash that is reported twice counts once")
     {
         run_and_end(run_end::crashed, crash_sign::blamed);
-        end_told(run_end::crashed, crash_sign::blamed);
+        report_end(run_end::crashed, crash_sign::blamed);
         CHECK(of.find(first)->evidence == crash_evidence{1, 1});
     }
 }
 
-TEST_CASE("progress is kept for the next run")
+TEST_CASE("the progress of a task is kept for its next run")
 {
     store of;
     (void)of.apply(submit_of("a", two_steps()));
@@ -324,13 +324,13 @@
     };
     start_all(1);
 
-    SECTION("one member's end stands for all")
+    SECTION("all members are done when one is")
     {
         end(of, {"a", 0, 0, 1}, 1, run_end::done);
         CHECK(of.find("a")->phase == job_phase::completed);
         CHECK(of.ended_with_runs().contains("a"));
     }
-    SECTION("members that fail together are one failure")
+    SECTION("failures of several members in one attempt count as one")
     {
         end(of, {"a", 0, 0, 0}, 1, run_end::failed);
         end(of, {"a", 0, 0, 1}, 1, run_end::failed);
@@ -342,7 +342,7 @@
     }
 }
 
-TEST_CASE("a lasting task is started again however it ends")
+TEST_CASE("a lasting task may be started again after any end")
 {
     job_spec spec;
     spec.steps = {step_of(1)};
@@ -357,7 +357,7 @@
     CHECK(of.find("a")->phase == job_phase::running);
 }
 
-TEST_CASE("a repeated job runs each time that falls due")
+TEST_CASE("a repeated job runs once per due occurrence")
 {
     job_spec spec;
     spec.steps = {step_of(1)};
@@ -378,7 +378,7 @@
     CHECK(of.find("a")->phase == job_phase::completed);
 }
 
-TEST_CASE("the highest version of a configuration holds")
+TEST_CASE("the highest version of a configuration is in force")
 {
     store of;
     configuration config;
@@ -395,7 +395,7 @@
     CHECK(of.current().version == 9);
 }
 
-TEST_CASE("a queue is found by its host and the longest prefix")
+TEST_CASE("a queue is found by its host and the longest matching path prefix")
 {
     configuration config;
     queue one;
@@ -412,9 +412,9 @@
     CHECK(config.find_queue("other", "/a/id") == nullptr);
 }
 
-// Symptom: a control VM whose disk was lost came back too late under load. Cause: nine tenths of the snapshot
-// that it had to take were the descriptions of jobs that had ended.
-TEST_CASE("of an ended job that has no runs only its state is kept")
+// Guards against a slow recovery of a control VM that lost its disk: under load, nine tenths of the snapshot
+// it had to receive were the specifications of ended jobs.
+TEST_CASE("an ended job without runs is reduced to its state")
 {
     store of;
     for (int i = 0; i < 100; ++i)
@@ -432,7 +432,7 @@
     CHECK(of.find("job0")->phase == job_phase::cancelled);
     CHECK(of.apply(submit_of("job0", two_steps())).result == outcome::known);
 
-    SECTION("while a run of it may go on, all of it")
+    SECTION("it is kept completely while a run may be in progress")
     {
         CHECK(start(of, {"job99", 0, 0, 0}, 1));
         (void)of.apply(cancel{"job99", 2000});
@@ -442,7 +442,7 @@
     }
 }
 
-TEST_CASE("a snapshot keeps all that commands have made")
+TEST_CASE("a snapshot contains the effects of all commands")
 {
     store of;
     configuration config;
@@ -471,7 +471,7 @@
     CHECK_FALSE(restored.restore("not a snapshot \xff\xff\xff"));
 }
 
-TEST_CASE("a run's life is on record, and a record of before lives were told is read")
+TEST_CASE("a run records the birth time of its worker, and records without one are readable")
 {
     store of;
     (void)of.apply(submit_of("a", two_steps()));
@@ -482,19 +482,19 @@
     REQUIRE(restored.restore(of.save()));
     CHECK(restored.find(first)->runs.at(0).worker == plumspoke::fleet::worker_life{"w", 1700000000123});
 
-    plumspoke::wire::JobCommand before;
-    plumspoke::wire::RunStart& start = *before.mutable_round()->add_starts();
+    plumspoke::wire::JobCommand without_birth;
+    plumspoke::wire::RunStart& start = *without_birth.mutable_round()->add_starts();
     start.mutable_task()->set_job("a");
     start.set_attempt(1);
     start.set_worker("w");
     start.set_address("address");
-    const std::optional<command> read = decode(before.SerializeAsString());
+    const std::optional<command> read = decode(without_birth.SerializeAsString());
     REQUIRE(read.has_value());
     CHECK(std::get<plumspoke::jobs::round>(*read).starts.at(0).worker ==
           plumspoke::fleet::worker_life{"w", 0});
 }
 
-TEST_CASE("a command survives its encoding")
+TEST_CASE("a command is unchanged after encoding and decoding")
 {
     plumspoke::jobs::round value;
     value.starts.push_back({{first, 3}, {"w", 1700000000123}, "address"});
--- a/tests/src/unit-leader_backoff.cpp
+++ b/tests/src/unit-leader_backoff.cpp
@@ -1,11 +1,10 @@
 /// @file
-/// @brief What callers and daemons do while nobody leads.
+/// @brief Timeouts and backoff of callers and daemons while there is no leader.
 ///
-/// Symptom: with no leader for ten seconds, 522 calls were answered with "undecided" and 398 ran into their
-/// own limits; 147 entries opened so many connections that control VMs ran out of descriptors. Sequence: a
-/// call waits at its entry for a leader until its own limit; each entry searches ten times a second and
-/// connects anew to each address that didn't answer the last time.
-/// Cause: neither the wait nor the search knew for how long nobody had led.
+/// Guards against overload during ten seconds without a leader: 522 calls were answered "undecided" and 398
+/// timed out, because each waited at its entry until its own deadline, and control VMs ran out of file
+/// descriptors, because 147 entries searched ten times per second and reconnected to every address that had
+/// not answered. Neither the wait nor the search took into account how long there had been no leader.
 
 #include "plumspoke/job_server/leader_backoff.hpp"
 
@@ -17,21 +16,21 @@
 using namespace plumspoke;
 using namespace plumspoke::job_server;
 
-TEST_CASE("a call waits for an election, and no longer")
+TEST_CASE("a call waits no longer than an election takes")
 {
     const leader_timeout caller = leader_timeout::for_caller(0.2);
     CHECK(caller.wait_limit(milliseconds(2800), milliseconds(100)) == milliseconds(1400));
     CHECK(caller.wait_limit(milliseconds(2800), milliseconds(2400)) == milliseconds(1400));
     CHECK(caller.wait_limit(milliseconds(2800), milliseconds(2500)) == milliseconds(150));
     CHECK(caller.wait_limit(milliseconds(100), seconds(10)) == milliseconds(100));
-    // With most threads taken by calls that wait, the rest gives refusals.
+    // When most threads are occupied by waiting calls, the remaining ones reject calls.
     CHECK(leader_timeout::for_caller(0.8).wait_limit(milliseconds(2800), milliseconds(0)) ==
           milliseconds(150));
-    // A control VM's own calls have short limits and wait for these.
+    // A control VM's own calls have short timeouts and wait for their whole duration.
     CHECK(leader_timeout().wait_limit(milliseconds(800), seconds(10)) == milliseconds(800));
 }
 
-TEST_CASE("hundreds of daemons search at different times, a few times a second each")
+TEST_CASE("searches of many daemons are spread, with a few per second each")
 {
     std::vector<duration> first;
     for (int i = 0; i < 147; ++i)
@@ -48,12 +47,12 @@
     {
         passed += one.next(0.5);
     }
-    CHECK(searches < 30); // 100 before
+    CHECK(searches < 30); // without backoff: 100
     one.reset();
     CHECK(one.next(0.5) == milliseconds(100));
 }
 
-TEST_CASE("a connection that worked is replaced at once, a fresh one that doesn't less and less often")
+TEST_CASE("a connection that worked is replaced at once, others with exponential backoff")
 {
     const time_point start{seconds(1000)};
     reconnect_backoff pace;
@@ -63,14 +62,14 @@
     {
         replaced += pace.may_reconnect(start + milliseconds(ms), false) ? 1 : 0;
     }
-    CHECK(replaced <= 9); // 34 before, one for each question that timed out
-    // One that answered after all, and went silent again.
+    CHECK(replaced <= 9); // without backoff: 34, one per query that timed out
+    // A connection that answered after all and became unresponsive again.
     CHECK(pace.may_reconnect(start + milliseconds(10'001), true));
     CHECK_FALSE(pace.may_reconnect(start + milliseconds(10'100), false));
     CHECK(pace.may_reconnect(start + milliseconds(10'250), false));
 }
 
-TEST_CASE("those who were refused together don't return together")
+TEST_CASE("callers rejected at the same time retry at different times")
 {
     std::vector<int> by_second(4, 0);
     for (int i = 0; i < 1000; ++i)
--- a/tests/src/unit-linearizable_read.cpp
+++ b/tests/src/unit-linearizable_read.cpp
@@ -1,10 +1,9 @@
 /// @file
-/// @brief A leader answers from its state only where its lease still held once it had read.
+/// @brief A leader answers from its state only if it held its lease before and after the read.
 ///
-/// Sequence: a process looks at its lease, then waits: for the state's lock, or for its share of the
-/// processor. Its lease runs out, another leader takes commands in, and the first one wakes, reads its old
-/// state and answers from it: an older configuration, no such queue, no such job. A look at the lease before
-/// the read doesn't rule that out.
+/// Guards against stale answers: a process checks its lease, then waits for the state's lock or for processor
+/// time. Its lease expires, another leader commits commands, and the first process reads its old state and
+/// answers with an older configuration, or that a queue or job does not exist.
 
 #include "plumspoke/job_server/linearizable_read.hpp"
 #include "plumspoke/jobs/codec.hpp"
@@ -17,10 +16,10 @@
 namespace
 {
 
-/// @brief A replica that leads until its lease is over.
-struct old_leader
+/// @brief A replica that leads until its lease expires.
+struct leader_with_lease
 {
-    old_leader()
+    leader_with_lease()
     {
         jobs::configuration first;
         first.version = 1;
@@ -36,7 +35,7 @@
             },
             [&]
             {
-                leads = leads && !waits; // meanwhile another leader has taken a second one in
+                leads = leads && !waits; // meanwhile another leader commits a second configuration
                 term += leads_again ? 2 : 0;
                 version = machine.read(
                     [](const jobs::store& state)
@@ -53,25 +52,25 @@
 
 } // namespace
 
-TEST_CASE("a leader's read is answered only where nobody can have overtaken it")
+TEST_CASE("a read is valid only if no other process can have led in between")
 {
-    old_leader of;
+    leader_with_lease of;
     std::uint64_t version = 0;
 
-    SECTION("its lease held before and after")
+    SECTION("the lease is held before and after")
     {
         CHECK(of.read_version(version, false));
         CHECK(version == 1);
     }
-    SECTION("its lease ran out while it waited to read")
+    SECTION("the lease expires before the read")
     {
         CHECK_FALSE(of.read_version(version, true));
     }
-    SECTION("another one led in between, and it leads again")
+    SECTION("another process leads in between, then this one again")
     {
         CHECK_FALSE(of.read_version(version, false, true));
     }
-    SECTION("it didn't lead at all, so nothing is read")
+    SECTION("without a lease nothing is read")
     {
         of.leads = false;
         CHECK_FALSE(of.read_version(version, false));
--- a/tests/src/unit-order_queue.cpp
+++ b/tests/src/unit-order_queue.cpp
@@ -1,14 +1,11 @@
 /// @file
-/// @brief Orders that wait for a connection.
+/// @brief The queue of orders that wait for a connection.
 ///
-/// Symptom: a task was started again more than a second after the end of its other run had been taken note
-/// of, by the same leader, on another worker. Sequence: a step allows copies; a worker doesn't answer, so a
-/// task of it gets a second run elsewhere. The second worker leaves every other order unanswered: the start
-/// waits on its connection behind orders that take 0.7 s each. The first run's end is recorded, the second
-/// one is to be stopped; its stop goes ahead of the start and stays unanswered too; then the start goes, and
-/// is carried out. Cause: a start that waited was sent though its run's stop had been ordered. Settled by: a
-/// day with half of all orders unanswered, 4 of 10 plays; no order was late by itself, the run began 1.1
-/// to 2.9 s after the end had been noted.
+/// Guards against a task that starts again 1.1 to 2.9 s after the end of its other run was recorded. A step
+/// allows copies, and a task gets a second run on a worker that leaves every other order unanswered, so the
+/// start waits behind orders that take 0.7 s each. Once the first run has ended, the second one is to be
+/// stopped; its stop overtakes the queued start and stays unanswered, and the start was sent after it. With half
+/// of all orders unanswered this happened in 4 of 10 simulated days.
 
 #include "plumspoke/job_server/order_queue.hpp"
 
@@ -25,14 +22,14 @@
     return {{"job", 0, 0, index}, 1};
 }
 
-dispatch::order start_of(std::uint32_t index)
+dispatch::order make_start(std::uint32_t index)
 {
     dispatch::start_order out;
     out.name = run(index);
     return out;
 }
 
-dispatch::order stop_of(std::uint32_t index)
+dispatch::order make_stop(std::uint32_t index)
 {
     dispatch::stop_order out;
     out.name = run(index);
@@ -41,12 +38,12 @@
 
 } // namespace
 
-TEST_CASE("a start that waits is never sent once its run's stop is ordered")
+TEST_CASE("a queued start is dropped when its run is to be stopped")
 {
     order_queue waiting;
-    CHECK(waiting.push(start_of(1)).empty());
-    CHECK(waiting.push(start_of(2)).empty());
-    const std::vector<dispatch::order> dropped = waiting.push(stop_of(1));
+    CHECK(waiting.push(make_start(1)).empty());
+    CHECK(waiting.push(make_start(2)).empty());
+    const std::vector<dispatch::order> dropped = waiting.push(make_stop(1));
     REQUIRE(dropped.size() == 1);
     CHECK(std::get<dispatch::start_order>(dropped[0]).name == run(1));
     CHECK(std::get<dispatch::stop_order>(waiting.pop()).name == run(1));
@@ -54,13 +51,13 @@
     CHECK(waiting.empty());
 }
 
-TEST_CASE("stops go before all other orders, in turn among themselves")
+TEST_CASE("stops precede all other orders, first in, first out")
 {
     order_queue waiting;
-    (void)waiting.push(start_of(1));
+    (void)waiting.push(make_start(1));
     (void)waiting.push(dispatch::pace_order{});
-    (void)waiting.push(stop_of(7));
-    (void)waiting.push(stop_of(8));
+    (void)waiting.push(make_stop(7));
+    (void)waiting.push(make_stop(8));
     CHECK(std::get<dispatch::stop_order>(waiting.pop()).name == run(7));
     CHECK(std::get<dispatch::stop_order>(waiting.pop()).name == run(8));
     CHECK(std::holds_alternative<dispatch::start_order>(waiting.pop()));
--- a/tests/src/unit-worker_client.cpp
+++ b/tests/src/unit-worker_client.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief A call that times out counts as a silent connection only where that connection had worked before.
+/// @brief A call that times out is counted as silent only if its connection had carried an answer before.
 
 #include "plumspoke/job_server/worker_client.hpp"
 
@@ -15,11 +15,11 @@
 namespace
 {
 
-/// @brief Answers the first requests of each connection, and is silent from then on.
-class falling_silent
+/// @brief A server that answers the first requests of each connection and no further ones.
+class unresponsive_server
 {
   public:
-    falling_silent(boost::asio::io_context& context, int answers)
+    unresponsive_server(boost::asio::io_context& context, int answers)
         : acceptor_(context, tcp::endpoint(boost::asio::ip::address_v4::loopback(), 0)), answers_(answers)
     {
         accept();
@@ -81,7 +81,7 @@
     int answers_;
 };
 
-class plain_protocol final : public protocol::worker_protocol
+class trivial_protocol final : public protocol::worker_protocol
 {
   public:
     [[nodiscard]] http::request write(const dispatch::order& /*what*/) const override
@@ -100,14 +100,14 @@
     }
 };
 
-/// @brief A caller whose answers are counted.
+/// @brief A client whose last result is recorded.
 struct fixture
 {
-    /// @brief Sends an order and waits for its end.
+    /// @brief Sends an order and waits for its result.
     dispatch::reply call(dispatch::order what)
     {
         ended.reset();
-        caller.send(std::move(what));
+        client.send(std::move(what));
         while (!ended.has_value())
         {
             context.run_one();
@@ -116,9 +116,9 @@
     }
 
     boost::asio::io_context context;
-    plain_protocol protocol;
+    trivial_protocol protocol;
     std::optional<dispatch::reply> ended;
-    worker_client caller{context,
+    worker_client client{context,
                          protocol,
                          [this](const dispatch::sent_order&, const dispatch::worker_answer& got)
                          {
@@ -128,42 +128,42 @@
 
 } // namespace
 
-TEST_CASE("calls on a connection that went silent are counted by kind")
+TEST_CASE("timeouts on connections that had worked are counted by kind")
 {
     fixture f;
 
     SECTION("after an answer")
     {
-        const falling_silent worker(f.context, 1);
+        const unresponsive_server worker(f.context, 1);
         const dispatch::hold_order poll{{{"w1"}, worker.address()}, 7, {}, 0, 0};
         const dispatch::stop_order stop{{{"w1"}, worker.address()}, 7, {}};
         CHECK(f.call(poll) == dispatch::reply::done);
-        CHECK(f.caller.silent().polls == 0);
+        CHECK(f.client.silent().polls == 0);
         CHECK(f.call(poll) == dispatch::reply::none);
-        CHECK(f.caller.silent().polls == 1);
-        CHECK(f.caller.silent().orders == 0);
+        CHECK(f.client.silent().polls == 1);
+        CHECK(f.client.silent().orders == 0);
         CHECK(f.call(stop) == dispatch::reply::done);
         CHECK(f.call(stop) == dispatch::reply::none);
-        CHECK(f.caller.silent().orders == 1);
+        CHECK(f.client.silent().orders == 1);
         CHECK(f.call(poll) == dispatch::reply::done); // a new connection
-        CHECK(f.caller.silent().polls == 1);
+        CHECK(f.client.silent().polls == 1);
     }
 
-    SECTION("not where it never carried an answer")
+    SECTION("but not if the connection never carried an answer")
     {
-        const falling_silent worker(f.context, 0);
+        const unresponsive_server worker(f.context, 0);
         CHECK(f.call(dispatch::hold_order{{{"w1"}, worker.address()}, 7, {}, 0, 0}) == dispatch::reply::none);
-        CHECK(f.caller.silent().polls == 0);
+        CHECK(f.client.silent().polls == 0);
     }
 
-    SECTION("not where it is refused")
+    SECTION("but not if the connection is refused")
     {
         std::string address;
         {
-            const falling_silent gone(f.context, 0);
+            const unresponsive_server gone(f.context, 0);
             address = gone.address();
         }
         CHECK(f.call(dispatch::hold_order{{{"w1"}, address}, 7, {}, 0, 0}) == dispatch::reply::none);
-        CHECK(f.caller.silent().polls == 0);
+        CHECK(f.client.silent().polls == 0);
     }
 }
