--- a/include/plumspoke/job_server/leader_client.hpp
+++ b/include/plumspoke/job_server/leader_client.hpp
@@ -107,11 +107,11 @@
     [[nodiscard]] time_point effective_deadline(time_point deadline) const;
     [[nodiscard]] std::optional<std::string> wait_for_leader(time_point deadline,
                                                              const leader_timeout& timeout);
-    void report_failure(const control_channel& over, bool silent);
-    void replace_channel(const control_channel& over);
+    void report_failure(const control_channel& used_channel, bool silent);
+    void replace_channel(const control_channel& used_channel);
     [[nodiscard]] duration next_search_pause();
     void set_leader(const std::string& address, std::uint64_t term);
-    void record_call(control_channel& over, bool answered, bool timed_out) noexcept;
+    void record_call(control_channel& used_channel, bool answered, bool timed_out) noexcept;
 
     std::string self_;
     std::function<std::vector<std::string>()> seeds_;
--- a/include/plumspoke/job_server/order_queue.hpp
+++ b/include/plumspoke/job_server/order_queue.hpp
@@ -30,13 +30,13 @@
     /// @brief Adds an order.
     /// @return the queued starts that a stop cancels; they must never be sent. The stop may stay unanswered,
     ///         and a start of the same run sent after it would begin a stopped run.
-    [[nodiscard]] std::vector<dispatch::order> push(dispatch::order what)
+    [[nodiscard]] std::vector<dispatch::order> push(dispatch::order order)
     {
-        const auto* stop = std::get_if<dispatch::stop_order>(&what);
+        const auto* stop = std::get_if<dispatch::stop_order>(&order);
         std::vector<dispatch::order> dropped;
         if (stop == nullptr)
         {
-            waiting_.push_back(std::move(what));
+            waiting_.push_back(std::move(order));
             return dropped;
         }
         const auto is_kept = [stop](const dispatch::order& one)
@@ -54,7 +54,7 @@
                                               {
                                                   return !std::holds_alternative<dispatch::stop_order>(one);
                                               });
-        waiting_.insert(first_other, std::move(what));
+        waiting_.insert(first_other, std::move(order));
         return dropped;
     }
 
--- a/include/plumspoke/job_server/worker_client.hpp
+++ b/include/plumspoke/job_server/worker_client.hpp
@@ -47,7 +47,7 @@
     worker_client& operator=(const worker_client&) = delete;
     ~worker_client();
 
-    void send(dispatch::order what);
+    void send(dispatch::order order);
 
     /// @brief Drops all queued orders and all connections without calling the handler.
     void reset();
@@ -82,7 +82,7 @@
     [[nodiscard]] std::shared_ptr<connection> find_or_open(connections_by_incarnation& pool,
                                                            const dispatch::recipient& to);
     [[nodiscard]] bool ensure_capacity();
-    void fail_unsent(dispatch::order what);
+    void fail_unsent(dispatch::order order);
     void expire_idle(time_point before);
     void count_connections() noexcept;
 
--- a/include/plumspoke/jobs/model.hpp
+++ b/include/plumspoke/jobs/model.hpp
@@ -251,7 +251,7 @@
     std::uint32_t occurrences_done = 0;
 
     /// @brief Whether all steps that this one depends on are done.
-    [[nodiscard]] bool is_ready(const occurrence& at, std::uint32_t step) const noexcept;
+    [[nodiscard]] bool is_ready(const occurrence& instance, std::uint32_t step) const noexcept;
     [[nodiscard]] bool has_lasting_step() const noexcept;
     [[nodiscard]] std::uint32_t occurrence_count() const noexcept
     {
--- a/include/plumspoke/jobs/store.hpp
+++ b/include/plumspoke/jobs/store.hpp
@@ -141,7 +141,7 @@
 
     /// @brief The number of live jobs of a queue of which no worker is known to have begun a task.
     /// @complexity Linear in the number of live jobs.
-    [[nodiscard]] std::uint32_t pending(const queue& of) const noexcept;
+    [[nodiscard]] std::uint32_t pending(const queue& counted_queue) const noexcept;
 
     /// @brief Cancels recorded before the submit of their job.
     [[nodiscard]] const early_cancels& cancelled_early() const noexcept
@@ -177,14 +177,14 @@
     command_answer apply_command(const round& value);
     void end_run(const run_ended& ended, std::int64_t at_ms);
     [[nodiscard]] bool start_run(const run_started& started);
-    static void mark_begun(job& of);
-    void start_occurrence(job& of, std::uint32_t number);
-    static void end_task_run(job& of, occurrence& at, task& ending, const run_ended& ended);
-    static void mark_done(job& of, occurrence& at, const run_ended& ended);
-    [[nodiscard]] static bool fails_job(const job& of, const occurrence& at, const task_name& name);
+    static void mark_begun(job& owner);
+    void start_occurrence(job& owner, std::uint32_t number);
+    static void end_task_run(job& owner, occurrence& instance, task& ending, const run_ended& ended);
+    static void mark_done(job& owner, occurrence& instance, const run_ended& ended);
+    [[nodiscard]] static bool fails_job(const job& owner, const occurrence& instance, const task_name& name);
     void record_effect(const learned_effect& value);
-    void finish(job& of, job_phase phase, std::int64_t at_ms);
-    void update_ended_with_runs(job& of);
+    void finish(job& owner, job_phase phase, std::int64_t at_ms);
+    void update_ended_with_runs(job& owner);
     [[nodiscard]] job* find_mutable(const job_id& id) noexcept;
 
     configuration configuration_;
--- a/src/job_server/control_http.cpp
+++ b/src/job_server/control_http.cpp
@@ -330,30 +330,30 @@
     to.push_back({name, metrics::label(key, value), count});
 }
 
-void add_server_lines(counter_lines& to, const control_counts& of)
+void add_server_lines(counter_lines& to, const control_counts& counts)
 {
-    to.push_back({"plumspoke_announcements_total", "", of.announcements});
-    to.push_back({"plumspoke_announcements_refused_total", "", of.announcements_refused});
-    to.push_back({"plumspoke_configurations_total", "", of.configurations});
-    to.push_back({"plumspoke_calls_invalid_total", "", of.calls_invalid});
-    to.push_back({"plumspoke_configurations_unanswered_total", "", of.configurations_unanswered});
-    to.push_back({"plumspoke_configuration_reads_refused_total", "", of.reads_refused});
-    to.push_back({"plumspoke_submits_total", "", of.submits});
-    to.push_back({"plumspoke_submits_refused_total", "", of.submits_refused});
-    to.push_back({"plumspoke_submits_refused_behind_total", "", of.submits_refused_behind});
-    to.push_back({"plumspoke_submits_undecided_total", "", of.submits_undecided});
-    to.push_back({"plumspoke_cancels_total", "", of.cancels});
-    to.push_back({"plumspoke_leader_changes_total", "", of.leader_changes});
-    to.push_back({"plumspoke_steps_without_lease_total", "", of.steps_without_lease});
-    to.push_back({"plumspoke_steps_given_way_total", "", of.steps_yielded});
+    to.push_back({"plumspoke_announcements_total", "", counts.announcements});
+    to.push_back({"plumspoke_announcements_refused_total", "", counts.announcements_refused});
+    to.push_back({"plumspoke_configurations_total", "", counts.configurations});
+    to.push_back({"plumspoke_calls_invalid_total", "", counts.calls_invalid});
+    to.push_back({"plumspoke_configurations_unanswered_total", "", counts.configurations_unanswered});
+    to.push_back({"plumspoke_configuration_reads_refused_total", "", counts.reads_refused});
+    to.push_back({"plumspoke_submits_total", "", counts.submits});
+    to.push_back({"plumspoke_submits_refused_total", "", counts.submits_refused});
+    to.push_back({"plumspoke_submits_refused_behind_total", "", counts.submits_refused_behind});
+    to.push_back({"plumspoke_submits_undecided_total", "", counts.submits_undecided});
+    to.push_back({"plumspoke_cancels_total", "", counts.cancels});
+    to.push_back({"plumspoke_leader_changes_total", "", counts.leader_changes});
+    to.push_back({"plumspoke_steps_without_lease_total", "", counts.steps_without_lease});
+    to.push_back({"plumspoke_steps_given_way_total", "", counts.steps_yielded});
 }
 
-void add_replica_lines(counter_lines& to, const replica::replica_status& of)
+void add_replica_lines(counter_lines& to, const replica::replica_status& status)
 {
-    to.push_back({"plumspoke_syncs_total", "", of.sync_count});
-    to.push_back({"plumspoke_commit_rounds_total", "", of.commit_rounds});
-    to.push_back({"plumspoke_term", "", of.term});
-    to.push_back({"plumspoke_leading", "", of.is_leader() ? 1U : 0U});
+    to.push_back({"plumspoke_syncs_total", "", status.sync_count});
+    to.push_back({"plumspoke_commit_rounds_total", "", status.commit_rounds});
+    to.push_back({"plumspoke_term", "", status.term});
+    to.push_back({"plumspoke_leading", "", status.is_leader() ? 1U : 0U});
 }
 
 void add_processor_lines(counter_lines& to, const metrics::thread_meter& loop, std::uint64_t replica_us)
@@ -376,69 +376,72 @@
     to.push_back({"plumspoke_process_cpu_microseconds_total", "", metrics::read_process_microseconds()});
 }
 
-void add_http_lines(counter_lines& to, const http::server& of)
+void add_http_lines(counter_lines& to, const http::server& server)
 {
-    to.push_back({"plumspoke_http_connections_total", "", of.connections()});
-    to.push_back({"plumspoke_http_open_connections", "", static_cast<std::uint64_t>(of.open_connections())});
-    to.push_back({"plumspoke_http_in_flight", "", static_cast<std::uint64_t>(of.in_flight())});
-    to.push_back({"plumspoke_http_threads", "", static_cast<std::uint64_t>(of.threads())});
+    to.push_back({"plumspoke_http_connections_total", "", server.connections()});
+    to.push_back(
+        {"plumspoke_http_open_connections", "", static_cast<std::uint64_t>(server.open_connections())});
+    to.push_back({"plumspoke_http_in_flight", "", static_cast<std::uint64_t>(server.in_flight())});
+    to.push_back({"plumspoke_http_threads", "", static_cast<std::uint64_t>(server.threads())});
 }
 
-void add_log_lines(counter_lines& to, const logging::dropped_lines& of)
+void add_log_lines(counter_lines& to, const logging::dropped_lines& dropped)
 {
-    add(to, "plumspoke_log_lines_dropped_total", "reason", "over_budget", of.over_budget);
-    add(to, "plumspoke_log_lines_dropped_total", "reason", "not_writable", of.not_writable);
+    add(to, "plumspoke_log_lines_dropped_total", "reason", "over_budget", dropped.over_budget);
+    add(to, "plumspoke_log_lines_dropped_total", "reason", "not_writable", dropped.not_writable);
 }
 
-void add_lapse_lines(counter_lines& to, const dispatch::lapse_counts& of)
+void add_lapse_lines(counter_lines& to, const dispatch::lapse_counts& counts)
 {
-    for (std::size_t by = 0; by < dispatch::lapse_finder_count; ++by)
+    for (std::size_t finder_index = 0; finder_index < dispatch::lapse_finder_count; ++finder_index)
     {
         const std::string finder =
-            metrics::label("found_by", to_string(static_cast<dispatch::lapse_finder>(by)));
-        for (std::size_t why = 0; why < dispatch::lapse_cause_count; ++why)
+            metrics::label("found_by", to_string(static_cast<dispatch::lapse_finder>(finder_index)));
+        for (std::size_t cause_index = 0; cause_index < dispatch::lapse_cause_count; ++cause_index)
         {
             const std::string cause =
-                metrics::label("cause", to_string(static_cast<dispatch::lapse_cause>(why)));
-            to.push_back({"plumspoke_runs_lapsed_total", finder + "," + cause, of.at(by).at(why)});
+                metrics::label("cause", to_string(static_cast<dispatch::lapse_cause>(cause_index)));
+            to.push_back({"plumspoke_runs_lapsed_total",
+                          finder + "," + cause,
+                          counts.at(finder_index).at(cause_index)});
         }
     }
 }
 
-void add_dispatch_lines(counter_lines& to, const dispatch::dispatch_counts& of)
+void add_dispatch_lines(counter_lines& to, const dispatch::dispatch_counts& counts)
 {
-    add(to, "plumspoke_orders_total", "kind", "start", of.starts_ordered);
-    add(to, "plumspoke_orders_total", "kind", "stop", of.stops_ordered);
-    add(to, "plumspoke_orders_total", "kind", "pace", of.paces_ordered);
-    add(to, "plumspoke_orders_total", "kind", "hold", of.holds);
-    add(to, "plumspoke_orders_failed_total", "reason", "hold_unanswered", of.holds_unanswered);
-    add(to, "plumspoke_orders_failed_total", "reason", "start_unanswered", of.starts_unanswered);
-    add(to, "plumspoke_orders_failed_total", "reason", "start_no_room", of.starts_rejected_no_room);
-    add(to, "plumspoke_orders_failed_total", "reason", "start_rejected", of.starts_rejected_other);
-    add(to, "plumspoke_run_ends_total", "how", "done", of.ends_done);
-    add(to, "plumspoke_run_ends_total", "how", "failed", of.ends_failed);
-    add(to, "plumspoke_run_ends_total", "how", "stopped", of.ends_stopped);
-    add(to, "plumspoke_run_ends_total", "how", "lapsed", of.ends_lapsed);
-    add(to, "plumspoke_run_ends_total", "how", "lost", of.ends_lost);
-    add(to, "plumspoke_run_ends_total", "how", "crashed", of.ends_crashed);
-    add(to, "plumspoke_run_ends_total", "how", "not_begun", of.ends_not_begun);
-    add(to, "plumspoke_runs_moved_total", "reason", "standstill", of.moved_standstill);
-    add(to, "plumspoke_runs_moved_total", "reason", "straggler", of.moved_straggler);
-    add(to, "plumspoke_runs_moved_total", "reason", "drain", of.moved_drain);
-    add(to, "plumspoke_runs_moved_total", "reason", "pace", of.moved_pace);
-    add_lapse_lines(to, of.runs_lapsed);
-    to.push_back({"plumspoke_workers_crashed_total", "", of.workers_crashed});
-    to.push_back({"plumspoke_tasks_given_up_total", "", of.tasks_given_up});
-    to.push_back({"plumspoke_copies_total", "", of.copies});
-    to.push_back({"plumspoke_workers_set_aside_total", "", of.workers_set_aside});
+    add(to, "plumspoke_orders_total", "kind", "start", counts.starts_ordered);
+    add(to, "plumspoke_orders_total", "kind", "stop", counts.stops_ordered);
+    add(to, "plumspoke_orders_total", "kind", "pace", counts.paces_ordered);
+    add(to, "plumspoke_orders_total", "kind", "hold", counts.holds);
+    add(to, "plumspoke_orders_failed_total", "reason", "hold_unanswered", counts.holds_unanswered);
+    add(to, "plumspoke_orders_failed_total", "reason", "start_unanswered", counts.starts_unanswered);
+    add(to, "plumspoke_orders_failed_total", "reason", "start_no_room", counts.starts_rejected_no_room);
+    add(to, "plumspoke_orders_failed_total", "reason", "start_rejected", counts.starts_rejected_other);
+    add(to, "plumspoke_run_ends_total", "how", "done", counts.ends_done);
+    add(to, "plumspoke_run_ends_total", "how", "failed", counts.ends_failed);
+    add(to, "plumspoke_run_ends_total", "how", "stopped", counts.ends_stopped);
+    add(to, "plumspoke_run_ends_total", "how", "lapsed", counts.ends_lapsed);
+    add(to, "plumspoke_run_ends_total", "how", "lost", counts.ends_lost);
+    add(to, "plumspoke_run_ends_total", "how", "crashed", counts.ends_crashed);
+    add(to, "plumspoke_run_ends_total", "how", "not_begun", counts.ends_not_begun);
+    add(to, "plumspoke_runs_moved_total", "reason", "standstill", counts.moved_standstill);
+    add(to, "plumspoke_runs_moved_total", "reason", "straggler", counts.moved_straggler);
+    add(to, "plumspoke_runs_moved_total", "reason", "drain", counts.moved_drain);
+    add(to, "plumspoke_runs_moved_total", "reason", "pace", counts.moved_pace);
+    add_lapse_lines(to, counts.runs_lapsed);
+    to.push_back({"plumspoke_workers_crashed_total", "", counts.workers_crashed});
+    to.push_back({"plumspoke_tasks_given_up_total", "", counts.tasks_given_up});
+    to.push_back({"plumspoke_copies_total", "", counts.copies});
+    to.push_back({"plumspoke_workers_set_aside_total", "", counts.workers_set_aside});
 }
 
-void add_unconfirmed_lines(counter_lines& to, const dispatch::unconfirmed_runs& of)
+void add_unconfirmed_lines(counter_lines& to, const dispatch::unconfirmed_runs& runs)
 {
-    add(to, "plumspoke_unconfirmed_runs", "begun", "here", of.own);
-    add(to, "plumspoke_unconfirmed_runs", "begun", "before", of.inherited);
-    to.push_back({"plumspoke_unconfirmed_jobs", "", of.jobs});
-    const auto oldest_ms = std::chrono::duration_cast<milliseconds>(of.oldest).count();
+    add(to, "plumspoke_unconfirmed_runs", "begun", "here", runs.own);
+    add(to, "plumspoke_unconfirmed_runs", "begun", "before", runs.inherited);
+    to.push_back({"plumspoke_unconfirmed_jobs", "", runs.jobs});
+    const auto oldest_ms = std::chrono::duration_cast<milliseconds>(runs.oldest).count();
     to.push_back({"plumspoke_unconfirmed_oldest_milliseconds", "", static_cast<std::uint64_t>(oldest_ms)});
 }
 
--- a/src/job_server/control_loop.cpp
+++ b/src/job_server/control_loop.cpp
@@ -40,16 +40,16 @@
 
 /// @brief Adds this process's counts of runs whose lease expired, by finder and cause; zero counts are
 ///        omitted.
-void add_lapses(logging::event& to, const dispatch::lapse_counts& of)
+void add_lapses(logging::event& to, const dispatch::lapse_counts& counts)
 {
-    for (std::size_t by = 0; by < dispatch::lapse_finder_count; ++by)
+    for (std::size_t finder_index = 0; finder_index < dispatch::lapse_finder_count; ++finder_index)
     {
-        const std::string finder(to_string(static_cast<dispatch::lapse_finder>(by)));
-        for (std::size_t why = 0; why < dispatch::lapse_cause_count; ++why)
+        const std::string finder(to_string(static_cast<dispatch::lapse_finder>(finder_index)));
+        for (std::size_t cause_index = 0; cause_index < dispatch::lapse_cause_count; ++cause_index)
         {
-            if (const std::uint64_t count = of.at(by).at(why); count > 0)
+            if (const std::uint64_t count = counts.at(finder_index).at(cause_index); count > 0)
             {
-                const std::string cause(to_string(static_cast<dispatch::lapse_cause>(why)));
+                const std::string cause(to_string(static_cast<dispatch::lapse_cause>(cause_index)));
                 to.with("lapsed_" + finder + "_" + cause, static_cast<std::int64_t>(count));
             }
         }
@@ -365,9 +365,9 @@
     {
         cancel_times_.record(std::chrono::duration_cast<duration>(milliseconds(took_ms)).count());
     }
-    for (dispatch::order& what : decided.orders)
+    for (dispatch::order& order : decided.orders)
     {
-        worker_client_->send(std::move(what));
+        worker_client_->send(std::move(order));
     }
     const time_point now = std::chrono::steady_clock::now();
     if (now >= next_expiry_)
--- a/src/job_server/control_service.cpp
+++ b/src/job_server/control_service.cpp
@@ -31,7 +31,7 @@
 struct resolved_path
 {
     jobs::outcome problem = jobs::outcome::accepted;
-    jobs::queue of;
+    jobs::queue queue;
     std::string id;         // of the job; empty: the path denotes the queue
     bool known_job = false; // whether a job with this id exists
 };
@@ -50,7 +50,7 @@
         out.problem = jobs::outcome::unknown_queue;
         return out;
     }
-    out.of = *found;
+    out.queue = *found;
     out.id = path.substr(found->path_prefix.size());
     out.known_job = jobs::job_id::fits(out.id) && state.find(out.id) != nullptr;
     return out;
@@ -246,12 +246,12 @@
         set_outcome(*reply, jobs::outcome::known);
         return grpc::Status::OK;
     }
-    accept_submit(*request, to.of, to.id, *reply);
+    accept_submit(*request, to.queue, to.id, *reply);
     return grpc::Status::OK;
 }
 
 void control_server::service::accept_submit(const wire::SubmitRequest& request,
-                                            const jobs::queue& into,
+                                            const jobs::queue& target_queue,
                                             const std::string& id,
                                             wire::JobReply& reply)
 {
@@ -264,14 +264,14 @@
         logging::write(
             logging::event(part, "job_not_taken", "The leader is overloaded; the job was rejected.")
                 .with("job", id)
-                .with("queue", into.name));
+                .with("queue", target_queue.name));
         set_outcome(reply, jobs::outcome::refused);
         reply.set_return_after_ms(jittered_return_ms(request.path()));
         return;
     }
     jobs::submit value;
     value.id = id;
-    value.source_queue = into;
+    value.source_queue = target_queue;
     value.spec = jobs::from_wire(request.spec());
     value.at_ms = time_of_day_ms();
     const replica::proposal_result result =
@@ -281,8 +281,8 @@
         const jobs::outcome taken = jobs::decode_answer(result.answer).result;
         logging::write(logging::event(part, "job_taken", "A job was committed.")
                            .with("job", value.id)
-                           .with("queue", into.name)
-                           .with("priority", into.priority)
+                           .with("queue", target_queue.name)
+                           .with("priority", target_queue.priority)
                            .with("steps", request.spec().steps_size())
                            .with("outcome", static_cast<std::int64_t>(taken)));
         set_outcome(reply, taken);
@@ -290,7 +290,7 @@
     }
     logging::write(logging::event(part, "job_not_taken", "A job was not committed.")
                        .with("job", value.id)
-                       .with("queue", into.name)
+                       .with("queue", target_queue.name)
                        .with("error", result.error.message()));
     const bool not_proposed =
         result.error == replica::errc::not_leader || result.error == replica::errc::queue_full;
@@ -319,7 +319,7 @@
     if (to.id.empty())
     {
         reply.set_is_count(true);
-        reply.set_pending(state.pending(to.of));
+        reply.set_pending(state.pending(to.queue));
         return;
     }
     if (!to.known_job)
--- a/src/job_server/control_service.hpp
+++ b/src/job_server/control_service.hpp
@@ -42,7 +42,7 @@
     void
     describe_state(const jobs::store& state, const wire::JobRequest& request, wire::JobReply& reply) const;
     void accept_submit(const wire::SubmitRequest& request,
-                       const jobs::queue& into,
+                       const jobs::queue& target_queue,
                        const std::string& id,
                        wire::JobReply& reply);
 
--- a/src/job_server/entry_server.cpp
+++ b/src/job_server/entry_server.cpp
@@ -37,7 +37,7 @@
 call_result read_reply(const grpc::Status& status,
                        const wire::JobReply& reply,
                        leader_client& link,
-                       protocol::caller_answer& into)
+                       protocol::caller_answer& answer)
 {
     if (!status.ok())
     {
@@ -49,24 +49,24 @@
         const bool undecided = reply.outcome() == static_cast<std::uint32_t>(jobs::outcome::undecided);
         return undecided ? call_result::unknown : call_result::not_executed;
     }
-    into.result = static_cast<jobs::outcome>(reply.outcome());
-    into.return_after_ms = reply.return_after_ms();
+    answer.result = static_cast<jobs::outcome>(reply.outcome());
+    answer.return_after_ms = reply.return_after_ms();
     return call_result::answered;
 }
 
 /// @brief Fills the caller's answer with the state of a job, or the job count of a queue.
-void read_state(const wire::JobReply& reply, protocol::caller_answer& into)
+void read_state(const wire::JobReply& reply, protocol::caller_answer& answer)
 {
-    if (into.result != jobs::outcome::accepted)
+    if (answer.result != jobs::outcome::accepted)
     {
         return;
     }
     if (reply.is_count())
     {
-        into.pending = reply.pending();
+        answer.pending = reply.pending();
         return;
     }
-    into.phase = static_cast<jobs::job_phase>(reply.phase());
+    answer.phase = static_cast<jobs::job_phase>(reply.phase());
 }
 
 wire::JobRequest make_job_request(const protocol::caller_request& asked)
--- a/src/job_server/grpc_keepalive.hpp
+++ b/src/job_server/grpc_keepalive.hpp
@@ -15,12 +15,12 @@
 constexpr auto keepalive_timeout = milliseconds(3000); // a frozen VM resumes sooner, or is restarted
 
 /// @brief Makes a server close connections whose peer answers no pings, including those without calls.
-inline void enable_keepalive(grpc::ServerBuilder& of)
+inline void enable_keepalive(grpc::ServerBuilder& builder)
 {
-    of.AddChannelArgument(GRPC_ARG_KEEPALIVE_TIME_MS, static_cast<int>(keepalive_interval.count()));
-    of.AddChannelArgument(GRPC_ARG_KEEPALIVE_TIMEOUT_MS, static_cast<int>(keepalive_timeout.count()));
-    of.AddChannelArgument(GRPC_ARG_KEEPALIVE_PERMIT_WITHOUT_CALLS, 1);
-    of.AddChannelArgument(GRPC_ARG_HTTP2_MAX_PINGS_WITHOUT_DATA, 0);
+    builder.AddChannelArgument(GRPC_ARG_KEEPALIVE_TIME_MS, static_cast<int>(keepalive_interval.count()));
+    builder.AddChannelArgument(GRPC_ARG_KEEPALIVE_TIMEOUT_MS, static_cast<int>(keepalive_timeout.count()));
+    builder.AddChannelArgument(GRPC_ARG_KEEPALIVE_PERMIT_WITHOUT_CALLS, 1);
+    builder.AddChannelArgument(GRPC_ARG_HTTP2_MAX_PINGS_WITHOUT_DATA, 0);
 }
 
 } // namespace plumspoke::job_server
--- a/src/job_server/leader_client.cpp
+++ b/src/job_server/leader_client.cpp
@@ -145,12 +145,12 @@
     }
 }
 
-void leader_client::record_call(control_channel& over, bool answered, bool timed_out) noexcept
+void leader_client::record_call(control_channel& used_channel, bool answered, bool timed_out) noexcept
 {
-    silent_calls_ += over.answered() && timed_out ? 1 : 0;
+    silent_calls_ += used_channel.answered() && timed_out ? 1 : 0;
     if (answered)
     {
-        over.note_answered();
+        used_channel.note_answered();
     }
 }
 
@@ -196,14 +196,14 @@
     }
 }
 
-void leader_client::report_failure(const control_channel& over, bool silent)
+void leader_client::report_failure(const control_channel& used_channel, bool silent)
 {
     const std::lock_guard lock(mutex_);
     if (silent)
     {
-        replace_channel(over);
+        replace_channel(used_channel);
     }
-    if (leader_ == over.address())
+    if (leader_ == used_channel.address())
     {
         leader_.clear();
         leaderless_since_ = std::chrono::steady_clock::now();
@@ -213,14 +213,15 @@
 }
 
 // Requires mutex_. Of many calls that fail on one connection, only the first replaces it.
-void leader_client::replace_channel(const control_channel& over)
+void leader_client::replace_channel(const control_channel& used_channel)
 {
-    const auto found = channels_.find(over.address());
-    if (found == channels_.end() || found->second.get() != &over)
+    const auto found = channels_.find(used_channel.address());
+    if (found == channels_.end() || found->second.get() != &used_channel)
     {
         return;
     }
-    if (reconnect_backoffs_[over.address()].may_reconnect(std::chrono::steady_clock::now(), over.answered()))
+    if (reconnect_backoffs_[used_channel.address()].may_reconnect(std::chrono::steady_clock::now(),
+                                                                  used_channel.answered()))
     {
         channels_.erase(found);
     }
--- a/src/job_server/worker_client.cpp
+++ b/src/job_server/worker_client.cpp
@@ -56,38 +56,41 @@
 
 /// @brief Serializes a request into one string. With thousands of orders per second, the library's field and
 ///        buffer types are too slow.
-std::string to_text(const http::request& of, const std::string& host)
+std::string to_text(const http::request& request, const std::string& host)
 {
     std::string out;
     constexpr std::size_t usual_head = 256;
-    out.reserve(usual_head + of.body.size());
-    out.append(of.method)
+    out.reserve(usual_head + request.body.size());
+    out.append(request.method)
         .append(" ")
-        .append(of.path)
+        .append(request.path)
         .append(" HTTP/1.1\r\nHost: ")
         .append(host)
         .append("\r\n");
-    for (const http::header& one : of.headers)
+    for (const http::header& one : request.headers)
     {
         out.append(one.name).append(": ").append(one.value).append("\r\n");
     }
-    out.append("Content-Length: ").append(std::to_string(of.body.size())).append("\r\n\r\n").append(of.body);
+    out.append("Content-Length: ")
+        .append(std::to_string(request.body.size()))
+        .append("\r\n\r\n")
+        .append(request.body);
     return out;
 }
 
 /// @brief Whether an order has no effect at its recipient.
-bool is_read_only(const dispatch::order& what)
+bool is_read_only(const dispatch::order& order)
 {
-    const auto* hold = std::get_if<dispatch::hold_order>(&what);
+    const auto* hold = std::get_if<dispatch::hold_order>(&order);
     return hold != nullptr && !hold->lease_until_ms.has_value() && hold->ends_noted == 0;
 }
 
 /// @brief Whether an order may be sent to any incarnation of the worker.
 /// @note A stop has no effect on an incarnation that does not know the run; its effect is read from polls,
 ///       which name the incarnation.
-bool is_valid_for_any_incarnation(const dispatch::order& what)
+bool is_valid_for_any_incarnation(const dispatch::order& order)
 {
-    return is_read_only(what) || std::holds_alternative<dispatch::stop_order>(what);
+    return is_read_only(order) || std::holds_alternative<dispatch::stop_order>(order);
 }
 
 /// @brief Whether one order is the stop of the run that the other one starts.
@@ -99,7 +102,7 @@
 }
 
 /// @brief A poll that asks the recipient of an order for its lists, which include its time of birth.
-dispatch::hold_order make_identity_query(const dispatch::order& what)
+dispatch::hold_order make_identity_query(const dispatch::order& order)
 {
     return std::visit(
         [](const auto& one)
@@ -109,12 +112,12 @@
             query.fencing_token = one.fencing_token;
             return query;
         },
-        what);
+        order);
 }
 
-milliseconds timeout_of(const dispatch::order& what)
+milliseconds timeout_of(const dispatch::order& order)
 {
-    const auto* hold = std::get_if<dispatch::hold_order>(&what);
+    const auto* hold = std::get_if<dispatch::hold_order>(&order);
     if (hold == nullptr)
     {
         return order_timeout;
@@ -133,12 +136,12 @@
     {
     }
 
-    void send(dispatch::order what)
+    void send(dispatch::order order)
     {
         used_at_ = std::chrono::steady_clock::now();
         order_cancelled_ =
-            order_cancelled_ || (in_flight_ && !order_written_ && cancels_start(what, current_->what));
-        for (dispatch::order& dropped : waiting_.push(std::move(what)))
+            order_cancelled_ || (in_flight_ && !order_written_ && cancels_start(order, current_->what));
+        for (dispatch::order& dropped : waiting_.push(std::move(order)))
         {
             owner_->fail_unsent(std::move(dropped));
         }
@@ -260,7 +263,7 @@
         write(verifying_incarnation_ ? dispatch::order(make_identity_query(current_->what)) : current_->what);
     }
 
-    void write(const dispatch::order& what)
+    void write(const dispatch::order& order)
     {
         if (owner_ == nullptr)
         {
@@ -268,9 +271,9 @@
         }
         order_written_ = !verifying_incarnation_;
         const metrics::measured_part writing(metrics::loop_part::write_order);
-        request_ = to_text(owner_->protocol_.write(what), to_.address);
+        request_ = to_text(owner_->protocol_.write(order), to_.address);
         // Restarted here: if this thread is late, connecting would otherwise have used up the timeout.
-        start_timeout(timeout_of(what));
+        start_timeout(timeout_of(order));
         boost::asio::async_write(stream_.socket(),
                                  boost::asio::buffer(request_),
                                  [self = shared_from_this()](boost::system::error_code error, std::size_t)
@@ -430,24 +433,24 @@
     reset();
 }
 
-void worker_client::send(dispatch::order what)
+void worker_client::send(dispatch::order order)
 {
-    const bool poll = std::holds_alternative<dispatch::hold_order>(what);
+    const bool poll = std::holds_alternative<dispatch::hold_order>(order);
     const dispatch::recipient& recipient = std::visit(
         [](const auto& one) -> const dispatch::recipient&
         {
             return one.to;
         },
-        what);
+        order);
     const std::shared_ptr<connection> to =
         find_or_open(poll ? poll_connections_ : order_connections_, recipient);
     if (to == nullptr)
     {
         ++without_connection_;
-        fail_unsent(std::move(what));
+        fail_unsent(std::move(order));
         return;
     }
-    to->send(std::move(what));
+    to->send(std::move(order));
 }
 
 // Keyed by incarnation: a new one at the same address does not wait behind unanswered calls to the old one.
@@ -487,12 +490,12 @@
     return connections() < max_connections_;
 }
 
-void worker_client::fail_unsent(dispatch::order what)
+void worker_client::fail_unsent(dispatch::order order)
 {
     boost::asio::post(context_,
                       [this,
                        reset = resets_,
-                       sent = dispatch::sent_order{std::move(what), std::chrono::steady_clock::now()}]
+                       sent = dispatch::sent_order{std::move(order), std::chrono::steady_clock::now()}]
                       {
                           if (reset == resets_)
                           {
--- a/src/jobs/model.cpp
+++ b/src/jobs/model.cpp
@@ -95,14 +95,14 @@
     return best;
 }
 
-bool job::is_ready(const occurrence& at, std::uint32_t step) const noexcept
+bool job::is_ready(const occurrence& instance, std::uint32_t step) const noexcept
 {
     const std::vector<std::uint32_t>& after = spec.steps[step].after;
     return std::all_of(after.begin(),
                        after.end(),
-                       [&at](std::uint32_t earlier)
+                       [&instance](std::uint32_t earlier)
                        {
-                           return at.steps[earlier].done == at.steps[earlier].tasks.size();
+                           return instance.steps[earlier].done == instance.steps[earlier].tasks.size();
                        });
 }
 
--- a/src/jobs/store.cpp
+++ b/src/jobs/store.cpp
@@ -12,15 +12,15 @@
 constexpr std::size_t max_learned_effects = 2000;
 constexpr std::size_t max_copies = 2; // one copy for a straggler; a third run brings no further gain
 
-bool has_runs(const job& one)
+bool has_runs(const job& owner)
 {
-    for (const auto& [number, at] : one.occurrences)
+    for (const auto& [number, instance] : owner.occurrences)
     {
-        for (const step& in : at.steps)
+        for (const step& parent_step : instance.steps)
         {
-            for (const task& of : in.tasks)
+            for (const task& member : parent_step.tasks)
             {
-                if (!of.runs.empty())
+                if (!member.runs.empty())
                 {
                     return true;
                 }
@@ -36,14 +36,14 @@
     return how == run_end::done || how == run_end::failed || how == run_end::broken || how == run_end::alone;
 }
 
-task* find_task(job& of, const task_name& name) noexcept
+task* find_task(job& owner, const task_name& name) noexcept
 {
-    const auto at = of.occurrences.find(name.occurrence);
-    if (at == of.occurrences.end() || name.step >= at->second.steps.size())
+    const auto found = owner.occurrences.find(name.occurrence);
+    if (found == owner.occurrences.end() || name.step >= found->second.steps.size())
     {
         return nullptr;
     }
-    std::vector<task>& tasks = at->second.steps[name.step].tasks;
+    std::vector<task>& tasks = found->second.steps[name.step].tasks;
     return name.index < tasks.size() ? &tasks[name.index] : nullptr;
 }
 
@@ -73,16 +73,17 @@
     return find_task(const_cast<job&>(found->second), name); // does not modify the job
 }
 
-std::uint32_t store::pending(const queue& of) const noexcept
+std::uint32_t store::pending(const queue& counted_queue) const noexcept
 {
     return static_cast<std::uint32_t>(std::count_if(live_.begin(),
                                                     live_.end(),
-                                                    [&of](const auto& entry)
+                                                    [&counted_queue](const auto& entry)
                                                     {
                                                         const job& one = *entry.second;
                                                         return !one.begun &&
-                                                               one.source_queue.host == of.host &&
-                                                               one.source_queue.path_prefix == of.path_prefix;
+                                                               one.source_queue.host == counted_queue.host &&
+                                                               one.source_queue.path_prefix ==
+                                                                   counted_queue.path_prefix;
                                                     }));
 }
 
@@ -220,11 +221,11 @@
     learned_.erase(least_known);
 }
 
-void store::start_occurrence(job& of, std::uint32_t number)
+void store::start_occurrence(job& owner, std::uint32_t number)
 {
-    occurrence& added = of.occurrences[number];
+    occurrence& added = owner.occurrences[number];
     added.number = number;
-    for (const step_spec& spec : of.spec.steps)
+    for (const step_spec& spec : owner.spec.steps)
     {
         step made;
         made.tasks.resize(spec.task_count);
@@ -234,20 +235,20 @@
 
 bool store::start_run(const run_started& started)
 {
-    job* of = find_mutable(started.name.task.job);
-    if (of == nullptr || is_final(of->phase))
+    job* owner = find_mutable(started.name.task.job);
+    if (owner == nullptr || is_final(owner->phase))
     {
         return false;
     }
-    task* found = find_task(*of, started.name.task);
+    task* found = find_task(*owner, started.name.task);
     if (found == nullptr || found->phase == task_phase::done || started.name.attempt <= found->last_attempt)
     {
         return false;
     }
-    const step_spec& spec = of->spec.steps[started.name.task.step];
+    const step_spec& spec = owner->spec.steps[started.name.task.step];
     const std::size_t most = spec.copies_allowed ? max_copies : 1;
     if (found->runs.size() >= most ||
-        !of->is_ready(of->occurrences.at(started.name.task.occurrence), started.name.task.step))
+        !owner->is_ready(owner->occurrences.at(started.name.task.occurrence), started.name.task.step))
     {
         return false;
     }
@@ -255,23 +256,23 @@
     found->last_attempt = started.name.attempt;
     found->runs.push_back({started.name.attempt, started.worker, started.address});
     // The order is not sent yet and may not reach a worker: the job stays queued until a worker has begun it.
-    of->granted = true;
+    owner->granted = true;
     return true;
 }
 
-void store::mark_begun(job& of)
+void store::mark_begun(job& owner)
 {
-    of.begun = true;
-    if (of.phase == job_phase::queued)
+    owner.begun = true;
+    if (owner.phase == job_phase::queued)
     {
-        of.phase = job_phase::running;
+        owner.phase = job_phase::running;
     }
 }
 
 void store::end_run(const run_ended& ended, std::int64_t at_ms)
 {
-    job* of = find_mutable(ended.name.task.job);
-    task* found = of == nullptr ? nullptr : find_task(*of, ended.name.task);
+    job* owner = find_mutable(ended.name.task.job);
+    task* found = owner == nullptr ? nullptr : find_task(*owner, ended.name.task);
     if (found == nullptr)
     {
         return;
@@ -287,34 +288,34 @@
     }
     if (implies_begun(ended.how))
     {
-        mark_begun(*of);
+        mark_begun(*owner);
     }
-    const bool was_live = !is_final(of->phase);
-    occurrence& at = of->occurrences.at(ended.name.task.occurrence);
+    const bool was_live = !is_final(owner->phase);
+    occurrence& instance = owner->occurrences.at(ended.name.task.occurrence);
     if (found->phase != task_phase::done)
     {
-        end_task_run(*of, at, *found, ended);
+        end_task_run(*owner, instance, *found, ended);
     }
-    if (was_live && fails_job(*of, at, ended.name.task))
+    if (was_live && fails_job(*owner, instance, ended.name.task))
     {
-        finish(*of, job_phase::failed, at_ms);
+        finish(*owner, job_phase::failed, at_ms);
     }
-    else if (was_live && of->occurrences_done == of->occurrence_count())
+    else if (was_live && owner->occurrences_done == owner->occurrence_count())
     {
-        finish(*of, job_phase::completed, at_ms);
+        finish(*owner, job_phase::completed, at_ms);
     }
-    if (is_final(of->phase))
+    if (is_final(owner->phase))
     {
-        update_ended_with_runs(*of);
+        update_ended_with_runs(*owner);
     }
 }
 
-void store::end_task_run(job& of, occurrence& at, task& ending, const run_ended& ended)
+void store::end_task_run(job& owner, occurrence& instance, task& ending, const run_ended& ended)
 {
-    const step_spec& spec = of.spec.steps[ended.name.task.step];
+    const step_spec& spec = owner.spec.steps[ended.name.task.step];
     if (ended.how == run_end::done && !spec.lasting)
     {
-        mark_done(of, at, ended);
+        mark_done(owner, instance, ended);
         return;
     }
     if (ended.how == run_end::failed)
@@ -322,7 +323,7 @@
         ++ending.failures;
         if (spec.gang)
         {
-            at.steps[ended.name.task.step].failed_attempts.insert(ended.name.attempt);
+            instance.steps[ended.name.task.step].failed_attempts.insert(ended.name.attempt);
         }
     }
     ending.evidence.add(ended.sign);
@@ -333,34 +334,34 @@
     }
 }
 
-void store::mark_done(job& of, occurrence& at, const run_ended& ended)
+void store::mark_done(job& owner, occurrence& instance, const run_ended& ended)
 {
-    step& in = at.steps[ended.name.task.step];
-    const bool gang = of.spec.steps[ended.name.task.step].gang;
-    for (std::uint32_t i = 0; i < in.tasks.size(); ++i)
+    step& parent_step = instance.steps[ended.name.task.step];
+    const bool gang = owner.spec.steps[ended.name.task.step].gang;
+    for (std::uint32_t i = 0; i < parent_step.tasks.size(); ++i)
     {
         // When one member of a gang is done, all of them are.
-        if ((gang || i == ended.name.task.index) && in.tasks[i].phase != task_phase::done)
+        if ((gang || i == ended.name.task.index) && parent_step.tasks[i].phase != task_phase::done)
         {
-            in.tasks[i].phase = task_phase::done;
-            in.tasks[i].saved.clear();
-            ++in.done;
+            parent_step.tasks[i].phase = task_phase::done;
+            parent_step.tasks[i].saved.clear();
+            ++parent_step.done;
         }
     }
-    const bool all = std::all_of(at.steps.begin(),
-                                 at.steps.end(),
+    const bool all = std::all_of(instance.steps.begin(),
+                                 instance.steps.end(),
                                  [](const step& one)
                                  {
                                      return one.done == one.tasks.size();
                                  });
-    of.occurrences_done += all ? 1 : 0;
+    owner.occurrences_done += all ? 1 : 0;
 }
 
-bool store::fails_job(const job& of, const occurrence& at, const task_name& name)
+bool store::fails_job(const job& owner, const occurrence& instance, const task_name& name)
 {
-    const step_spec& spec = of.spec.steps[name.step];
-    const step& in = at.steps[name.step];
-    const task& ended = in.tasks[name.index];
+    const step_spec& spec = owner.spec.steps[name.step];
+    const step& parent_step = instance.steps[name.step];
+    const task& ended = parent_step.tasks[name.index];
     if (ended.phase == task_phase::done)
     {
         return false;
@@ -375,30 +376,30 @@
     {
         return false;
     }
-    const std::size_t failures = spec.gang ? in.failed_attempts.size() : ended.failures;
-    return failures >= of.source_queue.max_failures;
+    const std::size_t failures = spec.gang ? parent_step.failed_attempts.size() : ended.failures;
+    return failures >= owner.source_queue.max_failures;
 }
 
-void store::finish(job& of, job_phase phase, std::int64_t at_ms)
+void store::finish(job& owner, job_phase phase, std::int64_t at_ms)
 {
-    of.phase = phase;
-    of.ended_at_ms = at_ms;
-    live_.erase(of.order);
+    owner.phase = phase;
+    owner.ended_at_ms = at_ms;
+    live_.erase(owner.order);
     ++revision_;
 }
 
-void store::update_ended_with_runs(job& of)
+void store::update_ended_with_runs(job& owner)
 {
-    if (has_runs(of))
+    if (has_runs(owner))
     {
-        ended_with_runs_.insert(of.id);
+        ended_with_runs_.insert(owner.id);
         return;
     }
-    ended_with_runs_.erase(of.id);
+    ended_with_runs_.erase(owner.id);
     // From now on only the job's state is read. Complete, the jobs that ended in the last minutes would make
     // up most of a snapshot and delay the recovery of a lost disk, which has to transfer it.
-    of.spec = {};
-    of.occurrences.clear();
+    owner.spec = {};
+    owner.occurrences.clear();
 }
 
 } // namespace plumspoke::jobs
--- a/tests/src/unit-jobs_store.cpp
+++ b/tests/src/unit-jobs_store.cpp
@@ -40,26 +40,27 @@
     return value;
 }
 
-bool start(store& of, const task_name& task, std::uint32_t attempt, const std::string& worker = "w")
+bool start(store& state, const task_name& task, std::uint32_t attempt, const std::string& worker = "w")
 {
     plumspoke::jobs::round value;
     value.starts.push_back({{task, attempt}, {worker}, "address"});
-    return of.apply(value).starts_accepted.at(0);
+    return state.apply(value).starts_accepted.at(0);
 }
 
-void end(store& of, const task_name& task, std::uint32_t attempt, run_end how, const std::string& saved = {})
+void end(
+    store& state, const task_name& task, std::uint32_t attempt, run_end how, const std::string& saved = {})
 {
     plumspoke::jobs::round value;
     value.ends.push_back({{task, attempt}, how, saved});
     value.at_ms = 5000;
-    (void)of.apply(value);
+    (void)state.apply(value);
 }
 
-void begin(store& of, const std::string& job)
+void begin(store& state, const std::string& job)
 {
     plumspoke::jobs::round value;
     value.begun = {job};
-    (void)of.apply(value);
+    (void)state.apply(value);
 }
 
 const task_name first{"a", 0, 0, 0};
@@ -70,33 +71,33 @@
 
 TEST_CASE("the store keeps one job per id")
 {
-    store of;
-    CHECK(of.apply(submit_of("a", two_steps())).result == outcome::accepted);
-    CHECK(of.apply(submit_of("a", two_steps())).result == outcome::known);
-    CHECK(of.all().size() == 1);
+    store state;
+    CHECK(state.apply(submit_of("a", two_steps())).result == outcome::accepted);
+    CHECK(state.apply(submit_of("a", two_steps())).result == outcome::known);
+    CHECK(state.all().size() == 1);
 
     SECTION("and rejects steps with cyclic dependencies")
     {
         job_spec loop = two_steps();
         loop.steps[0].after = {1};
-        CHECK(of.apply(submit_of("b", loop)).result == outcome::invalid);
-        CHECK(of.find("b") == nullptr);
+        CHECK(state.apply(submit_of("b", loop)).result == outcome::invalid);
+        CHECK(state.find("b") == nullptr);
     }
     SECTION("and counts it as pending until a worker has begun a task")
     {
         queue at;
         at.host = "h";
         at.path_prefix = "/q/";
-        CHECK(of.pending(at) == 1);
-        REQUIRE(start(of, first, 1));
-        CHECK(of.pending(at) == 1);
-        end(of, first, 1, run_end::not_begun);
-        CHECK(of.pending(at) == 1);
-        REQUIRE(start(of, first, 2));
-        begin(of, "a");
-        CHECK(of.pending(at) == 0);
-        end(of, first, 2, run_end::lapsed);
-        CHECK(of.pending(at) == 0);
+        CHECK(state.pending(at) == 1);
+        REQUIRE(start(state, first, 1));
+        CHECK(state.pending(at) == 1);
+        end(state, first, 1, run_end::not_begun);
+        CHECK(state.pending(at) == 1);
+        REQUIRE(start(state, first, 2));
+        begin(state, "a");
+        CHECK(state.pending(at) == 0);
+        end(state, first, 2, run_end::lapsed);
+        CHECK(state.pending(at) == 0);
     }
     SECTION("and counts it as pending until a run ends in a way that implies it had begun")
     {
@@ -111,133 +112,133 @@
                                                                          {run_end::lapsed, 1},
                                                                          {run_end::lost, 1},
                                                                          {run_end::not_begun, 1}}));
-        REQUIRE(start(of, first, 1));
-        end(of, first, 1, how);
-        CHECK(of.pending(at) == left);
+        REQUIRE(start(state, first, 1));
+        end(state, first, 1, how);
+        CHECK(state.pending(at) == left);
     }
 }
 
 TEST_CASE("the store allows one run of a task at a time")
 {
-    store of;
-    (void)of.apply(submit_of("a", two_steps()));
-    REQUIRE(start(of, first, 1));
+    store state;
+    (void)state.apply(submit_of("a", two_steps()));
+    REQUIRE(start(state, first, 1));
 
     SECTION("a second run is rejected while the first may be in progress")
     {
-        CHECK_FALSE(start(of, first, 2));
+        CHECK_FALSE(start(state, first, 2));
     }
     SECTION("an attempt number is not reused")
     {
-        end(of, first, 1, run_end::lapsed);
-        CHECK_FALSE(start(of, first, 1));
-        CHECK(start(of, first, 2));
+        end(state, first, 1, run_end::lapsed);
+        CHECK_FALSE(start(state, first, 1));
+        CHECK(start(state, first, 2));
     }
     SECTION("a task is not started before its dependencies are done")
     {
-        CHECK_FALSE(start(of, last, 1));
-        end(of, first, 1, run_end::done);
-        CHECK_FALSE(start(of, last, 1));
-        REQUIRE(start(of, second, 1));
-        end(of, second, 1, run_end::done);
-        CHECK(start(of, last, 1));
+        CHECK_FALSE(start(state, last, 1));
+        end(state, first, 1, run_end::done);
+        CHECK_FALSE(start(state, last, 1));
+        REQUIRE(start(state, second, 1));
+        end(state, second, 1, run_end::done);
+        CHECK(start(state, last, 1));
     }
     SECTION("a task is not started again once it is done")
     {
-        end(of, first, 1, run_end::done);
-        CHECK_FALSE(start(of, first, 2));
+        end(state, first, 1, run_end::done);
+        CHECK_FALSE(start(state, first, 2));
     }
     SECTION("two runs are allowed with copies, and no third")
     {
         job_spec spec;
         spec.steps = {step_of(1)};
         spec.steps[0].copies_allowed = true;
-        (void)of.apply(submit_of("c", spec));
+        (void)state.apply(submit_of("c", spec));
         const task_name copied{"c", 0, 0, 0};
-        CHECK(start(of, copied, 1));
-        CHECK(start(of, copied, 2));
-        CHECK_FALSE(start(of, copied, 3));
+        CHECK(start(state, copied, 1));
+        CHECK(start(state, copied, 2));
+        CHECK_FALSE(start(state, copied, 3));
     }
 }
 
 TEST_CASE("the phase of a job follows its tasks")
 {
-    store of;
-    (void)of.apply(submit_of("a", two_steps()));
-    const auto phase = [&of]
+    store state;
+    (void)state.apply(submit_of("a", two_steps()));
+    const auto phase = [&state]
     {
-        return of.find("a")->phase;
+        return state.find("a")->phase;
     };
     CHECK(phase() == job_phase::queued);
-    REQUIRE(start(of, first, 1));
+    REQUIRE(start(state, first, 1));
     CHECK(phase() == job_phase::queued); // the order may not reach a worker
-    begin(of, "a");
+    begin(state, "a");
     CHECK(phase() == job_phase::running);
 
     SECTION("it completes only when all tasks are done")
     {
-        REQUIRE(start(of, second, 1));
-        end(of, first, 1, run_end::done);
-        end(of, second, 1, run_end::done);
+        REQUIRE(start(state, second, 1));
+        end(state, first, 1, run_end::done);
+        end(state, second, 1, run_end::done);
         CHECK(phase() == job_phase::running);
-        REQUIRE(start(of, last, 1));
-        end(of, last, 1, run_end::done);
+        REQUIRE(start(state, last, 1));
+        end(state, last, 1, run_end::done);
         CHECK(phase() == job_phase::completed);
-        CHECK(of.live().empty());
+        CHECK(state.live().empty());
     }
     SECTION("it fails at the maximum number of failures of a task; other ends do not count")
     {
-        end(of, first, 1, run_end::failed);
-        REQUIRE(start(of, first, 2));
-        end(of, first, 2, run_end::lapsed);
-        REQUIRE(start(of, first, 3));
-        end(of, first, 3, run_end::stopped);
+        end(state, first, 1, run_end::failed);
+        REQUIRE(start(state, first, 2));
+        end(state, first, 2, run_end::lapsed);
+        REQUIRE(start(state, first, 3));
+        end(state, first, 3, run_end::stopped);
         CHECK(phase() == job_phase::running);
-        REQUIRE(start(of, first, 4));
-        end(of, first, 4, run_end::failed);
+        REQUIRE(start(state, first, 4));
+        end(state, first, 4, run_end::failed);
         CHECK(phase() == job_phase::failed);
-        CHECK_FALSE(start(of, second, 1));
+        CHECK_FALSE(start(state, second, 1));
     }
     SECTION("it is cancelled at once, and its open runs are kept until they end")
     {
-        CHECK(of.apply(cancel{"a", 2000}).result == outcome::accepted);
+        CHECK(state.apply(cancel{"a", 2000}).result == outcome::accepted);
         CHECK(phase() == job_phase::cancelled);
-        CHECK(of.ended_with_runs().contains("a"));
-        begin(of, "a"); // reported late
+        CHECK(state.ended_with_runs().contains("a"));
+        begin(state, "a"); // reported late
         CHECK(phase() == job_phase::cancelled);
-        end(of, first, 1, run_end::stopped);
-        CHECK(of.ended_with_runs().empty());
+        end(state, first, 1, run_end::stopped);
+        CHECK(state.ended_with_runs().empty());
     }
     SECTION("an end that is reported twice counts once")
     {
-        end(of, first, 1, run_end::failed);
-        end(of, first, 1, run_end::failed);
-        CHECK(of.find(first)->failures == 1);
+        end(state, first, 1, run_end::failed);
+        end(state, first, 1, run_end::failed);
+        CHECK(state.find(first)->failures == 1);
     }
 }
 
 TEST_CASE("a job fails if one of its tasks keeps crashing workers")
 {
-    store of;
+    store state;
     job_spec spec = two_steps();
     spec.steps[0].lasting = GENERATE(false, true);
-    (void)of.apply(submit_of("a", spec));
+    (void)state.apply(submit_of("a", spec));
     std::uint32_t attempt = 0;
     const auto report_end = [&](run_end how, crash_sign sign)
     {
         plumspoke::jobs::round ends;
         ends.ends.push_back({{first, attempt}, how, {}, sign});
-        (void)of.apply(ends);
+        (void)state.apply(ends);
     };
     const auto run_and_end = [&](run_end how, crash_sign sign)
     {
         ++attempt;
-        REQUIRE(start(of, first, attempt));
+        REQUIRE(start(state, first, attempt));
         report_end(how, sign);
     };
-    const auto has_failed = [&of]
+    const auto has_failed = [&state]
     {
-        return of.find("a")->phase == job_phase::failed;
+        return state.find("a")->phase == job_phase::failed;
     };
 
     SECTION("after three crashes blamed on the task")
@@ -262,10 +263,10 @@
     {
         run_and_end(run_end::crashed, crash_sign::blamed);
         run_and_end(run_end::crashed, crash_sign::blamed);
-        const std::string saved = of.save();
-        of = store();
-        REQUIRE(of.restore(saved));
-        CHECK(of.find(first)->evidence == crash_evidence{2, 2});
+        const std::string saved = state.save();
+        state = store();
+        REQUIRE(state.restore(saved));
+        CHECK(state.find(first)->evidence == crash_evidence{2, 2});
         run_and_end(run_end::crashed, crash_sign::blamed);
         CHECK(has_failed());
     }
@@ -285,27 +286,27 @@
         run_and_end(run_end::crashed, crash_sign::blamed);
         run_and_end(run_end::crashed, crash_sign::blamed);
         run_and_end(run_end::crashed, crash_sign::cleared);
-        CHECK(of.find(first)->evidence == crash_evidence{});
+        CHECK(state.find(first)->evidence == crash_evidence{});
         CHECK_FALSE(has_failed());
     }
     SECTION("and a crash that is reported twice counts once")
     {
         run_and_end(run_end::crashed, crash_sign::blamed);
         report_end(run_end::crashed, crash_sign::blamed);
-        CHECK(of.find(first)->evidence == crash_evidence{1, 1});
+        CHECK(state.find(first)->evidence == crash_evidence{1, 1});
     }
 }
 
 TEST_CASE("the progress of a task is kept for its next run")
 {
-    store of;
-    (void)of.apply(submit_of("a", two_steps()));
-    REQUIRE(start(of, first, 1));
-    end(of, first, 1, run_end::stopped, "saved");
-    CHECK(of.find(first)->saved == "saved");
-    REQUIRE(start(of, first, 2));
-    end(of, first, 2, run_end::lost);
-    CHECK(of.find(first)->saved == "saved");
+    store state;
+    (void)state.apply(submit_of("a", two_steps()));
+    REQUIRE(start(state, first, 1));
+    end(state, first, 1, run_end::stopped, "saved");
+    CHECK(state.find(first)->saved == "saved");
+    REQUIRE(start(state, first, 2));
+    end(state, first, 2, run_end::lost);
+    CHECK(state.find(first)->saved == "saved");
 }
 
 TEST_CASE("a gang fails and succeeds as a whole")
@@ -313,32 +314,32 @@
     job_spec spec;
     spec.steps = {step_of(3)};
     spec.steps[0].gang = true;
-    store of;
-    (void)of.apply(submit_of("a", spec));
-    const auto start_all = [&of](std::uint32_t attempt)
+    store state;
+    (void)state.apply(submit_of("a", spec));
+    const auto start_all = [&state](std::uint32_t attempt)
     {
         for (std::uint32_t i = 0; i < 3; ++i)
         {
-            REQUIRE(start(of, {"a", 0, 0, i}, attempt));
+            REQUIRE(start(state, {"a", 0, 0, i}, attempt));
         }
     };
     start_all(1);
 
     SECTION("all members are done when one is")
     {
-        end(of, {"a", 0, 0, 1}, 1, run_end::done);
-        CHECK(of.find("a")->phase == job_phase::completed);
-        CHECK(of.ended_with_runs().contains("a"));
+        end(state, {"a", 0, 0, 1}, 1, run_end::done);
+        CHECK(state.find("a")->phase == job_phase::completed);
+        CHECK(state.ended_with_runs().contains("a"));
     }
     SECTION("failures of several members in one attempt count as one")
     {
-        end(of, {"a", 0, 0, 0}, 1, run_end::failed);
-        end(of, {"a", 0, 0, 1}, 1, run_end::failed);
-        end(of, {"a", 0, 0, 2}, 1, run_end::broken);
-        CHECK(of.find("a")->phase == job_phase::running);
+        end(state, {"a", 0, 0, 0}, 1, run_end::failed);
+        end(state, {"a", 0, 0, 1}, 1, run_end::failed);
+        end(state, {"a", 0, 0, 2}, 1, run_end::broken);
+        CHECK(state.find("a")->phase == job_phase::running);
         start_all(2);
-        end(of, {"a", 0, 0, 2}, 2, run_end::failed);
-        CHECK(of.find("a")->phase == job_phase::failed);
+        end(state, {"a", 0, 0, 2}, 2, run_end::failed);
+        CHECK(state.find("a")->phase == job_phase::failed);
     }
 }
 
@@ -347,14 +348,14 @@
     job_spec spec;
     spec.steps = {step_of(1)};
     spec.steps[0].lasting = true;
-    store of;
-    (void)of.apply(submit_of("a", spec));
+    store state;
+    (void)state.apply(submit_of("a", spec));
     for (std::uint32_t attempt = 1; attempt < 6; ++attempt)
     {
-        REQUIRE(start(of, first, attempt));
-        end(of, first, attempt, attempt % 2 == 0 ? run_end::done : run_end::failed);
+        REQUIRE(start(state, first, attempt));
+        end(state, first, attempt, attempt % 2 == 0 ? run_end::done : run_end::failed);
     }
-    CHECK(of.find("a")->phase == job_phase::running);
+    CHECK(state.find("a")->phase == job_phase::running);
 }
 
 TEST_CASE("a repeated job runs once per due occurrence")
@@ -362,37 +363,37 @@
     job_spec spec;
     spec.steps = {step_of(1)};
     spec.repeat_count = 2;
-    store of;
-    (void)of.apply(submit_of("a", spec));
-    CHECK_FALSE(start(of, first, 1));
+    store state;
+    (void)state.apply(submit_of("a", spec));
+    CHECK_FALSE(start(state, first, 1));
     plumspoke::jobs::round due;
     due.due = {{"a", 0}, {"a", 1}, {"a", 2}};
-    (void)of.apply(due);
-    CHECK(of.find("a")->occurrences.size() == 2);
+    (void)state.apply(due);
+    CHECK(state.find("a")->occurrences.size() == 2);
     for (const std::uint32_t time : {1U, 0U})
     {
-        CHECK(of.find("a")->phase != job_phase::completed);
-        REQUIRE(start(of, {"a", time, 0, 0}, 1));
-        end(of, {"a", time, 0, 0}, 1, run_end::done);
+        CHECK(state.find("a")->phase != job_phase::completed);
+        REQUIRE(start(state, {"a", time, 0, 0}, 1));
+        end(state, {"a", time, 0, 0}, 1, run_end::done);
     }
-    CHECK(of.find("a")->phase == job_phase::completed);
+    CHECK(state.find("a")->phase == job_phase::completed);
 }
 
 TEST_CASE("the highest version of a configuration is in force")
 {
-    store of;
+    store state;
     configuration config;
     config.version = 7;
     config.document = "seven";
-    CHECK(of.apply(configure{config}).result == outcome::accepted);
+    CHECK(state.apply(configure{config}).result == outcome::accepted);
     config.document = "other content";
-    CHECK(of.apply(configure{config}).result == outcome::known);
+    CHECK(state.apply(configure{config}).result == outcome::known);
     config.version = 6;
-    CHECK(of.apply(configure{config}).result == outcome::known);
-    CHECK(of.current().document == "seven");
+    CHECK(state.apply(configure{config}).result == outcome::known);
+    CHECK(state.current().document == "seven");
     config.version = 9;
-    CHECK(of.apply(configure{config}).result == outcome::accepted);
-    CHECK(of.current().version == 9);
+    CHECK(state.apply(configure{config}).result == outcome::accepted);
+    CHECK(state.current().version == 9);
 }
 
 TEST_CASE("a queue is found by its host and the longest matching path prefix")
@@ -416,49 +417,49 @@
 // it had to receive were the specifications of ended jobs.
 TEST_CASE("an ended job without runs is reduced to its state")
 {
-    store of;
+    store state;
     for (int i = 0; i < 100; ++i)
     {
         job_spec spec = two_steps();
         spec.payload.assign(2000, 'x');
-        (void)of.apply(submit_of("job" + std::to_string(i), spec));
+        (void)state.apply(submit_of("job" + std::to_string(i), spec));
     }
-    const std::size_t live_bytes = of.save().size();
+    const std::size_t live_bytes = state.save().size();
     for (int i = 0; i < 99; ++i)
     {
-        (void)of.apply(cancel{"job" + std::to_string(i), 2000});
+        (void)state.apply(cancel{"job" + std::to_string(i), 2000});
     }
-    CHECK(of.save().size() < live_bytes / 10);
-    CHECK(of.find("job0")->phase == job_phase::cancelled);
-    CHECK(of.apply(submit_of("job0", two_steps())).result == outcome::known);
+    CHECK(state.save().size() < live_bytes / 10);
+    CHECK(state.find("job0")->phase == job_phase::cancelled);
+    CHECK(state.apply(submit_of("job0", two_steps())).result == outcome::known);
 
     SECTION("it is kept completely while a run may be in progress")
     {
-        CHECK(start(of, {"job99", 0, 0, 0}, 1));
-        (void)of.apply(cancel{"job99", 2000});
-        CHECK(of.find({"job99", 0, 0, 0}) != nullptr);
-        end(of, {"job99", 0, 0, 0}, 1, run_end::stopped);
-        CHECK(of.find({"job99", 0, 0, 0}) == nullptr);
+        CHECK(start(state, {"job99", 0, 0, 0}, 1));
+        (void)state.apply(cancel{"job99", 2000});
+        CHECK(state.find({"job99", 0, 0, 0}) != nullptr);
+        end(state, {"job99", 0, 0, 0}, 1, run_end::stopped);
+        CHECK(state.find({"job99", 0, 0, 0}) == nullptr);
     }
 }
 
 TEST_CASE("a snapshot contains the effects of all commands")
 {
-    store of;
+    store state;
     configuration config;
     config.version = 3;
     config.document = "text";
-    (void)of.apply(configure{config});
-    (void)of.apply(submit_of("a", two_steps()));
-    (void)of.apply(submit_of("b", two_steps()));
-    REQUIRE(start(of, first, 1, "w1"));
-    REQUIRE(start(of, second, 1, "w2"));
-    end(of, first, 1, run_end::failed, "saved");
-    (void)of.apply(cancel{"b", 1});
+    (void)state.apply(configure{config});
+    (void)state.apply(submit_of("a", two_steps()));
+    (void)state.apply(submit_of("b", two_steps()));
+    REQUIRE(start(state, first, 1, "w1"));
+    REQUIRE(start(state, second, 1, "w2"));
+    end(state, first, 1, run_end::failed, "saved");
+    (void)state.apply(cancel{"b", 1});
 
     store restored;
-    REQUIRE(restored.restore(of.save()));
-    CHECK(restored.save() == of.save());
+    REQUIRE(restored.restore(state.save()));
+    CHECK(restored.save() == state.save());
     CHECK(restored.current().document == "text");
     CHECK(restored.find(first)->failures == 1);
     CHECK(restored.find(first)->saved == "saved");
@@ -473,13 +474,13 @@
 
 TEST_CASE("a run records the birth time of its worker, and records without one are readable")
 {
-    store of;
-    (void)of.apply(submit_of("a", two_steps()));
+    store state;
+    (void)state.apply(submit_of("a", two_steps()));
     plumspoke::jobs::round value;
     value.starts.push_back({{first, 1}, {"w", 1700000000123}, "address"});
-    REQUIRE(of.apply(value).starts_accepted.at(0));
+    REQUIRE(state.apply(value).starts_accepted.at(0));
     store restored;
-    REQUIRE(restored.restore(of.save()));
+    REQUIRE(restored.restore(state.save()));
     CHECK(restored.find(first)->runs.at(0).worker == plumspoke::fleet::worker_life{"w", 1700000000123});
 
     plumspoke::wire::JobCommand without_birth;
--- a/tests/src/unit-order_queue.cpp
+++ b/tests/src/unit-order_queue.cpp
@@ -4,8 +4,8 @@
 /// Guards against a task that starts again 1.1 to 2.9 s after the end of its other run was recorded. A step
 /// allows copies, and a task gets a second run on a worker that leaves every other order unanswered, so the
 /// start waits behind orders that take 0.7 s each. Once the first run has ended, the second one is to be
-/// stopped; its stop overtakes the queued start and stays unanswered, and the start was sent after it. With half
-/// of all orders unanswered this happened in 4 of 10 simulated days.
+/// stopped; its stop overtakes the queued start and stays unanswered, and the start was sent after it. With
+/// half of all orders unanswered this happened in 4 of 10 simulated days.
 
 #include "plumspoke/job_server/order_queue.hpp"
 
