--- a/include/plumspoke/job_server/control_server.hpp
+++ b/include/plumspoke/job_server/control_server.hpp
@@ -115,7 +115,7 @@
     /// @brief Statistics of the leader's loop since its last log line.
     struct loop_window
     {
-        time_point begun{};
+        time_point started_at{};
         std::int64_t steps = 0;
         std::int64_t without_lease = 0; // steps in which the lease had expired
         std::int64_t late_us = 0;       // the largest delay of a step or timer
--- a/include/plumspoke/job_server/entry_server.hpp
+++ b/include/plumspoke/job_server/entry_server.hpp
@@ -51,19 +51,21 @@
     struct job_answer;
 
     [[nodiscard]] http::response handle(const http::request& received);
+    [[nodiscard]] protocol::caller_answer forward(const protocol::caller_request& parsed,
+                                                  const protocol::submit_call& call,
+                                                  std::size_t body_bytes);
     [[nodiscard]] protocol::caller_answer
-    forward(const protocol::caller_request& asked, const protocol::submit_call& call, std::size_t body_bytes);
+    forward(const protocol::caller_request& parsed, const protocol::read_call& call, std::size_t body_bytes);
+    [[nodiscard]] protocol::caller_answer forward(const protocol::caller_request& parsed,
+                                                  const protocol::cancel_call& call,
+                                                  std::size_t body_bytes);
     [[nodiscard]] protocol::caller_answer
-    forward(const protocol::caller_request& asked, const protocol::read_call& call, std::size_t body_bytes);
-    [[nodiscard]] protocol::caller_answer
-    forward(const protocol::caller_request& asked, const protocol::cancel_call& call, std::size_t body_bytes);
-    [[nodiscard]] protocol::caller_answer
-    call_leader(const protocol::caller_request& asked,
-                bool changes_something,
-                const std::function<job_answer(control_channel&, grpc::ClientContext&, duration)>& ask);
+    call_leader(const protocol::caller_request& parsed,
+                bool is_mutation,
+                const std::function<job_answer(control_channel&, grpc::ClientContext&, duration)>& send);
     [[nodiscard]] bool ready() const;
     [[nodiscard]] http::response metrics_response() const;
-    [[nodiscard]] time_point deadline_of(const protocol::caller_request& asked) const;
+    [[nodiscard]] time_point deadline_of(const protocol::caller_request& parsed) const;
 
     settings::job_settings settings_;
     const protocol::caller_protocol& callers_;
--- a/src/job_server/control_loop.cpp
+++ b/src/job_server/control_loop.cpp
@@ -28,9 +28,9 @@
 using metrics::loop_part;
 using metrics::measured_part;
 
-std::int64_t microseconds_since(time_point begun)
+std::int64_t microseconds_since(time_point started_at)
 {
-    return std::chrono::duration_cast<duration>(std::chrono::steady_clock::now() - begun).count();
+    return std::chrono::duration_cast<duration>(std::chrono::steady_clock::now() - started_at).count();
 }
 
 std::int64_t to_ms(std::int64_t microseconds) noexcept
@@ -175,7 +175,7 @@
 dispatch::dispatch_output control_server::decide(time_point now)
 {
     const measured_part deciding(loop_part::decide);
-    const time_point begun = std::chrono::steady_clock::now();
+    const time_point started_at = std::chrono::steady_clock::now();
     dispatch::dispatch_output decided = state_machine_.read(
         [this, now](const jobs::store& state)
         {
@@ -187,7 +187,7 @@
             known_workers_ = dispatcher_.workers().size();
             return out;
         });
-    const std::int64_t took_us = microseconds_since(begun);
+    const std::int64_t took_us = microseconds_since(started_at);
     dispatcher_.on_decided(duration(took_us));
     decide_times_.record(took_us);
     window_.decide_us = std::max(window_.decide_us, took_us);
@@ -196,7 +196,7 @@
 
 void control_server::report_window(time_point now, const replica::replica_status& status)
 {
-    if (now < window_.begun + window_length)
+    if (now < window_.started_at + window_length)
     {
         return;
     }
@@ -207,12 +207,12 @@
         const std::lock_guard lock(counts_mutex_);
         unconfirmed_ = open;
     }
-    if (window_.begun != time_point{})
+    if (window_.started_at != time_point{})
     {
         log_window(now, totals, open);
     }
     window_ = {};
-    window_.begun = now;
+    window_.started_at = now;
     window_.before = totals;
 }
 
@@ -243,7 +243,7 @@
     };
     logging::event line(part, "loop", "Statistics of the leader's loop in this window.");
     line.with("term", static_cast<std::int64_t>(dispatcher_.term()))
-        .with("window_ms", std::chrono::duration_cast<milliseconds>(now - window_.begun).count())
+        .with("window_ms", std::chrono::duration_cast<milliseconds>(now - window_.started_at).count())
         .with("steps", window_.steps)
         .with("without_lease", window_.without_lease)
         .with("late_ms", to_ms(window_.late_us))
@@ -309,13 +309,13 @@
     ++counts_.leader_changes;
     window_ = {};
     const measured_part taking_over(loop_part::take_over);
-    const time_point begun = std::chrono::steady_clock::now();
+    const time_point started_at = std::chrono::steady_clock::now();
     state_machine_.read(
         [&](const jobs::store& state)
         {
             dispatcher_.lead(now, status.term, state);
         });
-    take_over_times_.record(microseconds_since(begun));
+    take_over_times_.record(microseconds_since(started_at));
     const std::lock_guard lock(registry_mutex_);
     for (const fleet::announcement& one : registry_.all())
     {
@@ -349,7 +349,7 @@
 void control_server::execute(dispatch::dispatch_output& decided)
 {
     const measured_part carrying_out(loop_part::carry_out);
-    const time_point begun = std::chrono::steady_clock::now();
+    const time_point started_at = std::chrono::steady_clock::now();
     {
         const measured_part writing(loop_part::log);
         for (const logging::event& one : decided.events)
@@ -375,7 +375,7 @@
         next_expiry_ = now + expire_interval;
         worker_client_->expire(now);
     }
-    carry_out_times_.record(microseconds_since(begun));
+    carry_out_times_.record(microseconds_since(started_at));
 }
 
 void control_server::propose(const dispatch::planned_round& planned)
--- a/src/job_server/control_service.cpp
+++ b/src/job_server/control_service.cpp
@@ -113,7 +113,7 @@
                                                 duration limit,
                                                 std::shared_ptr<const in_flight_submits::entry> registration)
 {
-    const time_point begun = std::chrono::steady_clock::now();
+    const time_point started_at = std::chrono::steady_clock::now();
     const auto promise = std::make_shared<std::promise<replica::proposal_result>>();
     std::future<replica::proposal_result> future = promise->get_future();
     driver_->propose(jobs::encode(value),
@@ -129,7 +129,7 @@
     if (!result.error)
     {
         accept_to_durable_.record(
-            std::chrono::duration_cast<duration>(std::chrono::steady_clock::now() - begun).count());
+            std::chrono::duration_cast<duration>(std::chrono::steady_clock::now() - started_at).count());
         schedule_step();
     }
     return result;
--- a/src/job_server/entry_server.cpp
+++ b/src/job_server/entry_server.cpp
@@ -69,21 +69,21 @@
     answer.phase = static_cast<jobs::job_phase>(reply.phase());
 }
 
-wire::JobRequest make_job_request(const protocol::caller_request& asked)
+wire::JobRequest make_job_request(const protocol::caller_request& parsed)
 {
     wire::JobRequest out;
-    out.set_host(asked.host);
-    out.set_path(asked.path);
+    out.set_host(parsed.host);
+    out.set_path(parsed.path);
     return out;
 }
 
 protocol::caller_answer
-make_failure(const protocol::caller_request& asked, call_result end, bool changes_something)
+make_failure(const protocol::caller_request& parsed, call_result end, bool is_mutation)
 {
     protocol::caller_answer out;
     out.result =
-        end == call_result::unknown && changes_something ? jobs::outcome::undecided : jobs::outcome::refused;
-    out.return_after_ms = jittered_return_ms(asked.path);
+        end == call_result::unknown && is_mutation ? jobs::outcome::undecided : jobs::outcome::refused;
+    out.return_after_ms = jittered_return_ms(parsed.path);
     return out;
 }
 
@@ -152,15 +152,15 @@
     {
         return;
     }
-    const time_point begun = std::chrono::steady_clock::now();
-    answer_deadline_ = begun + milliseconds(settings_.stop_ms - response_margin_ms);
+    const time_point started_at = std::chrono::steady_clock::now();
+    answer_deadline_ = started_at + milliseconds(settings_.stop_ms - response_margin_ms);
     draining_ = true;
     leader_client_.limit_deadlines(answer_deadline_);
     http_->begin_drain();
     logging::write(
         logging::event(part, "draining", "Draining: no new connections; answering requests on open ones.")
             .with("in_flight", http_->in_flight()));
-    std::this_thread::sleep_until(std::min(begun + drain_grace_period, answer_deadline_));
+    std::this_thread::sleep_until(std::min(started_at + drain_grace_period, answer_deadline_));
     (void)http_->wait_until_idle(answer_deadline_, quiet_period);
     leader_client_.stop();
     // Counted from now, not from the deadline: a process that was frozen has not read what arrived meanwhile.
@@ -169,9 +169,9 @@
     logging::write(
         logging::event(part, "stopped", "Stopped.")
             .with("in_flight", idle ? 0 : http_->in_flight())
-            .with(
-                "took_ms",
-                std::chrono::duration_cast<milliseconds>(std::chrono::steady_clock::now() - begun).count()));
+            .with("took_ms",
+                  std::chrono::duration_cast<milliseconds>(std::chrono::steady_clock::now() - started_at)
+                      .count()));
 }
 
 bool entry_server::ready() const
@@ -183,9 +183,9 @@
 
 // ---- requests ----------------------------------------------------------------------------------
 
-time_point entry_server::deadline_of(const protocol::caller_request& asked) const
+time_point entry_server::deadline_of(const protocol::caller_request& parsed) const
 {
-    const std::int64_t limit_ms = asked.time_left_ms > 0 ? asked.time_left_ms : default_timeout_ms;
+    const std::int64_t limit_ms = parsed.time_left_ms > 0 ? parsed.time_left_ms : default_timeout_ms;
     const time_point own = std::chrono::steady_clock::now() +
                            milliseconds(std::max(limit_ms - response_margin_ms, min_timeout_ms));
     return draining_ ? std::min(own, answer_deadline_) : own;
@@ -194,12 +194,12 @@
 http::response entry_server::handle(const http::request& received)
 {
     ++counts_.requests;
-    const time_point begun = std::chrono::steady_clock::now();
-    const protocol::caller_request asked = callers_.read(received);
-    if (const auto* bad = std::get_if<protocol::bad_call>(&asked.call); bad != nullptr)
+    const time_point started_at = std::chrono::steady_clock::now();
+    const protocol::caller_request parsed = callers_.read(received);
+    if (const auto* bad = std::get_if<protocol::bad_call>(&parsed.call); bad != nullptr)
     {
         ++counts_.bad_requests;
-        logging::write(logging::event(part, "bad_request", bad->message).with("path", asked.path));
+        logging::write(logging::event(part, "bad_request", bad->message).with("path", parsed.path));
         return callers_.write(*bad);
     }
     const protocol::caller_answer result = std::visit(
@@ -211,17 +211,17 @@
             }
             else
             {
-                return forward(asked, call, received.body.size());
+                return forward(parsed, call, received.body.size());
             }
         },
-        asked.call);
-    const auto took = std::chrono::duration_cast<duration>(std::chrono::steady_clock::now() - begun);
+        parsed.call);
+    const auto took = std::chrono::duration_cast<duration>(std::chrono::steady_clock::now() - started_at);
     answer_times_.record(took.count());
     ++counts_.outcomes.at(static_cast<std::size_t>(result.result));
     if (result.result == jobs::outcome::refused || result.result == jobs::outcome::undecided)
     {
         logging::write(logging::event(part, "request_not_served", "No leader answered the request.")
-                           .with("path", asked.path)
+                           .with("path", parsed.path)
                            .with("method", received.method)
                            .with("outcome", static_cast<std::int64_t>(result.result))
                            .with("known_leader", leader_client_.leader())
@@ -230,13 +230,13 @@
     return callers_.write(result);
 }
 
-protocol::caller_answer entry_server::forward(const protocol::caller_request& asked,
+protocol::caller_answer entry_server::forward(const protocol::caller_request& parsed,
                                               const protocol::submit_call& call,
                                               std::size_t body_bytes)
 {
     wire::SubmitRequest request;
-    request.set_host(asked.host);
-    request.set_path(asked.path);
+    request.set_host(parsed.host);
+    request.set_path(parsed.path);
     *request.mutable_spec() = jobs::to_wire(call.spec);
     request.set_body_bytes(static_cast<std::uint32_t>(body_bytes));
     const auto submit = [&request](control_channel& to, grpc::ClientContext& context, duration limit)
@@ -247,63 +247,63 @@
         got.status = to.stub().Submit(&context, request, &got.reply);
         return got;
     };
-    return call_leader(asked, true, submit);
+    return call_leader(parsed, true, submit);
 }
 
-protocol::caller_answer entry_server::forward(const protocol::caller_request& asked,
+protocol::caller_answer entry_server::forward(const protocol::caller_request& parsed,
                                               const protocol::read_call& /*call*/,
                                               std::size_t /*body_bytes*/)
 {
-    const wire::JobRequest request = make_job_request(asked);
+    const wire::JobRequest request = make_job_request(parsed);
     const auto read = [&request](control_channel& to, grpc::ClientContext& context, duration /*limit*/)
     {
         job_answer got;
         got.status = to.stub().State(&context, request, &got.reply);
         return got;
     };
-    return call_leader(asked, false, read);
+    return call_leader(parsed, false, read);
 }
 
-protocol::caller_answer entry_server::forward(const protocol::caller_request& asked,
+protocol::caller_answer entry_server::forward(const protocol::caller_request& parsed,
                                               const protocol::cancel_call& /*call*/,
                                               std::size_t /*body_bytes*/)
 {
-    const wire::JobRequest request = make_job_request(asked);
+    const wire::JobRequest request = make_job_request(parsed);
     const auto cancel = [&request](control_channel& to, grpc::ClientContext& context, duration /*limit*/)
     {
         job_answer got;
         got.status = to.stub().Cancel(&context, request, &got.reply);
         return got;
     };
-    return call_leader(asked, true, cancel);
+    return call_leader(parsed, true, cancel);
 }
 
 protocol::caller_answer entry_server::call_leader(
-    const protocol::caller_request& asked,
-    bool changes_something,
-    const std::function<job_answer(control_channel&, grpc::ClientContext&, duration)>& ask)
+    const protocol::caller_request& parsed,
+    bool is_mutation,
+    const std::function<job_answer(control_channel&, grpc::ClientContext&, duration)>& send)
 {
     protocol::caller_answer out;
     bool may_be_done = false;
     const double in_use = static_cast<double>(http_->in_flight()) / static_cast<double>(http_->threads());
     const call_result end = leader_client_.call(
-        deadline_of(asked),
+        deadline_of(parsed),
         [&](control_channel& to, duration limit)
         {
             grpc::ClientContext context;
             set_timeout(context, limit);
-            const job_answer got = ask(to, context, limit);
-            const call_result one = read_reply(got.status, got.reply, leader_client_, out);
-            if (!changes_something && one == call_result::answered)
+            const job_answer got = send(to, context, limit);
+            const call_result attempt_result = read_reply(got.status, got.reply, leader_client_, out);
+            if (!is_mutation && attempt_result == call_result::answered)
             {
                 read_state(got.reply, out);
             }
             out.result = combined_outcome(out.result, may_be_done);
-            may_be_done = changes_something && (may_be_done || one == call_result::unknown);
-            return one;
+            may_be_done = is_mutation && (may_be_done || attempt_result == call_result::unknown);
+            return attempt_result;
         },
         leader_timeout::for_caller(in_use));
-    return end == call_result::answered ? out : make_failure(asked, end, changes_something);
+    return end == call_result::answered ? out : make_failure(parsed, end, is_mutation);
 }
 
 http::response entry_server::metrics_response() const
--- a/src/job_server/leader_client.cpp
+++ b/src/job_server/leader_client.cpp
@@ -126,10 +126,10 @@
             continue;
         }
         const duration limit = attempt_timeout(left);
-        const time_point begun = std::chrono::steady_clock::now();
+        const time_point started_at = std::chrono::steady_clock::now();
         const call_result end = attempt(*to, limit);
         const bool timed_out =
-            end == call_result::unknown && std::chrono::steady_clock::now() >= begun + limit;
+            end == call_result::unknown && std::chrono::steady_clock::now() >= started_at + limit;
         record_call(*to, end != call_result::unknown, timed_out);
         switch (end)
         {
