--- a/include/plumspoke/job_server/leader_client.hpp
+++ b/include/plumspoke/job_server/leader_client.hpp
@@ -107,7 +107,7 @@
     [[nodiscard]] time_point effective_deadline(time_point deadline) const;
     [[nodiscard]] std::optional<std::string> wait_for_leader(time_point deadline,
                                                              const leader_timeout& timeout);
-    void report_failure(const control_channel& used_channel, bool timed_out);
+    void report_failure(const control_channel& used_channel, bool unresponsive);
     void replace_channel(const control_channel& used_channel);
     [[nodiscard]] duration next_search_pause();
     void set_leader(const std::string& address, std::uint64_t term);
--- a/src/job_server/leader_client.cpp
+++ b/src/job_server/leader_client.cpp
@@ -196,10 +196,10 @@
     }
 }
 
-void leader_client::report_failure(const control_channel& used_channel, bool timed_out)
+void leader_client::report_failure(const control_channel& used_channel, bool unresponsive)
 {
     const std::lock_guard lock(mutex_);
-    if (timed_out)
+    if (unresponsive)
     {
         replace_channel(used_channel);
     }
