--- a/include/plumspoke/dispatch/worker_view.hpp
+++ b/include/plumspoke/dispatch/worker_view.hpp
@@ -61,7 +61,7 @@
     jobs::run_name name;
     fleet::worker_life worker;
     run_stage stage = run_stage::proposed;
-    jobs::room needs;
+    jobs::resources needs;
     bool filler = false;
     bool lasting = false;
     bool serving = false;
@@ -149,7 +149,7 @@
     colocation_summary colocation;
     bool reserved = false; // for a lasting task that lost its worker, as of the last placement
     bool granted = false;  // the current placement has granted it a task
-    jobs::room used;       // without the processors of fillers
+    jobs::resources used;  // without the processors of fillers
     std::int64_t filler_cpu_milli = 0;
     std::int64_t serving_cpu_milli = 0; // reserved by serving tasks, which use a part of it
     std::int64_t lasting_cpu_milli = 0; // reserved by lasting tasks, serving or not
@@ -195,7 +195,7 @@
 /// @brief Whether one more crash without another explanation would make the task be given up.
 [[nodiscard]] constexpr bool is_critical_suspect(const jobs::crash_evidence& evidence) noexcept
 {
-    return evidence.blamed + 1 >= jobs::crash_evidence::most_blamed;
+    return evidence.blamed + 1 >= jobs::crash_evidence::max_blamed;
 }
 
 /// @brief Whether the worker has confirmed to this leader that the run has begun.
--- a/src/dispatch/answers.cpp
+++ b/src/dispatch/answers.cpp
@@ -568,8 +568,8 @@
     const jobs::crash_sign recorded_sign = ran_long ? jobs::crash_sign::cleared : sign;
     pending_ends_.push_back({run.name, how, saved, recorded_sign});
     jobs::crash_evidence evidence = run.evidence;
-    evidence.note(recorded_sign);
-    if (evidence.suffices())
+    evidence.add(recorded_sign);
+    if (evidence.exceeds_limit())
     {
         ++counts_.tasks_given_up;
         events_.push_back(task_given_up_event(run, evidence));
--- a/src/dispatch/crashes.cpp
+++ b/src/dispatch/crashes.cpp
@@ -167,7 +167,7 @@
     const bool widespread = is_widespread(now);
     const bool other_cause = widespread || recent_crashes_.crashed_recently(now, worker.info.address);
     const std::optional<std::uint32_t> blamed_before =
-        other_cause ? std::nullopt : jobs::find_blamed(evidence_of(worker.runs));
+        other_cause ? std::nullopt : jobs::max_prior_blame(evidence_of(worker.runs));
     for (run_view& run : worker.runs)
     {
         if (run.stage == run_stage::proposed)
--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -47,7 +47,7 @@
     interference_.adopt_recorded(state.learned());
     for (const auto& [id, job] : state.all())
     {
-        if (jobs::is_final(job.phase) && !state.leftover().contains(id))
+        if (jobs::is_final(job.phase) && !state.ended_with_runs().contains(id))
         {
             continue;
         }
@@ -241,7 +241,7 @@
 
 void dispatcher::stop_runs_of_ended_jobs(const jobs::store& state)
 {
-    for (const jobs::job_id& id : state.leftover())
+    for (const jobs::job_id& id : state.ended_with_runs())
     {
         const auto first = runs_.lower_bound({{id, 0, 0, 0}, 0});
         for (auto at = first; at != runs_.end() && at->first.task.job == id; ++at)
@@ -254,7 +254,7 @@
 
 void dispatcher::measure_cancel_latency(std::int64_t day_ms, const jobs::store& state, dispatch_output& out)
 {
-    for (const jobs::job_id& id : state.leftover())
+    for (const jobs::job_id& id : state.ended_with_runs())
     {
         const jobs::job* job = state.find(id);
         if (job != nullptr && job->phase == jobs::job_phase::cancelled)
@@ -265,7 +265,7 @@
     std::erase_if(cancelled_at_ms_,
                   [&](const auto& entry)
                   {
-                      const bool over = !state.leftover().contains(entry.first);
+                      const bool over = !state.ended_with_runs().contains(entry.first);
                       if (over)
                       {
                           out.cancels_stopped_ms.push_back(day_ms - entry.second);
--- a/src/dispatch/restart_reservations.cpp
+++ b/src/dispatch/restart_reservations.cpp
@@ -16,9 +16,9 @@
 
 } // namespace
 
-jobs::room dispatcher::capacity_beside_lasting(const worker_view& worker) const
+jobs::resources dispatcher::capacity_beside_lasting(const worker_view& worker) const
 {
-    jobs::room left = worker.info.room;
+    jobs::resources left = worker.info.room;
     for (const run_view& run : worker.runs)
     {
         if (run.lasting)
--- a/src/dispatch/short_task_headroom.cpp
+++ b/src/dispatch/short_task_headroom.cpp
@@ -40,7 +40,7 @@
                                                });
             if (!step.spec->lasting && !step.spec->filler)
             {
-                demands[step.job->taken_from.service].push_back(
+                demands[step.job->source_queue.service].push_back(
                     {step.spec->needs.cpu_milli, static_cast<std::uint32_t>(waiting)});
             }
         }
--- a/src/dispatch/worker_choice.cpp
+++ b/src/dispatch/worker_choice.cpp
@@ -117,7 +117,7 @@
                                                       start_kind start) const
 {
     const jobs::step_spec& spec = *step.spec;
-    if (worker.info.service != step.job->taken_from.service)
+    if (worker.info.service != step.job->source_queue.service)
     {
         return eligibility::other_pool;
     }
@@ -139,9 +139,9 @@
     {
         return eligibility::reserved;
     }
-    jobs::room left = worker.info.room;
+    jobs::resources left = worker.info.room;
     left -= worker.used;
-    jobs::room needs = spec.needs;
+    jobs::resources needs = spec.needs;
     if (spec.filler)
     {
         if (filler_headroom_milli(worker) < needs.cpu_milli)
--- a/src/job_server/control_service.cpp
+++ b/src/job_server/control_service.cpp
@@ -1,7 +1,7 @@
 #include "control_service.hpp"
 
-#include "plumspoke/job_server/certified_read.hpp"
-#include "plumspoke/job_server/leader_wait.hpp"
+#include "plumspoke/job_server/leader_backoff.hpp"
+#include "plumspoke/job_server/linearizable_read.hpp"
 #include "plumspoke/jobs/codec.hpp"
 #include "plumspoke/logging/event.hpp"
 #include "plumspoke/time/time_of_day.hpp"
@@ -27,18 +27,18 @@
     return !text.empty() && jobs::job_id::fits(text) && text.find('/') == std::string_view::npos;
 }
 
-/// @brief What a path means under the configuration in force.
-struct addressed
+/// @brief The queue and job that a path denotes under the current configuration.
+struct resolved_path
 {
     jobs::outcome problem = jobs::outcome::accepted;
-    jobs::queue of;
-    std::string id;         // empty: the queue itself
-    bool known_job = false; // there is a job with this id
+    jobs::queue queue;
+    std::string id;         // of the job; empty: the path denotes the queue
+    bool known_job = false; // whether a job with this id exists
 };
 
-addressed resolve(const jobs::store& state, const std::string& host, const std::string& path)
+resolved_path resolve(const jobs::store& state, const std::string& host, const std::string& path)
 {
-    addressed out;
+    resolved_path out;
     if (state.current().version == 0)
     {
         out.problem = jobs::outcome::unconfigured;
@@ -50,7 +50,7 @@
         out.problem = jobs::outcome::unknown_queue;
         return out;
     }
-    out.of = *found;
+    out.queue = *found;
     out.id = path.substr(found->path_prefix.size());
     out.known_job = jobs::job_id::fits(out.id) && state.find(out.id) != nullptr;
     return out;
@@ -96,7 +96,7 @@
     return out;
 }
 
-// ---- the leader's answers ----------------------------------------------------------------------
+// ---- answers of the leader ----------------------------------------------------------------------
 
 bool control_server::acting() const
 {
@@ -111,13 +111,13 @@
 
 replica::proposal_result control_server::commit(const jobs::command& value,
                                                 duration limit,
-                                                std::shared_ptr<const under_way::entry> held)
+                                                std::shared_ptr<const in_flight_submits::entry> registration)
 {
-    const time_point begun = std::chrono::steady_clock::now();
+    const time_point started_at = std::chrono::steady_clock::now();
     const auto promise = std::make_shared<std::promise<replica::proposal_result>>();
     std::future<replica::proposal_result> future = promise->get_future();
     driver_->propose(jobs::encode(value),
-                     [promise, held = std::move(held)](replica::proposal_result got)
+                     [promise, registration = std::move(registration)](replica::proposal_result got)
                      {
                          promise->set_value(std::move(got));
                      });
@@ -129,7 +129,7 @@
     if (!result.error)
     {
         accept_to_durable_.record(
-            std::chrono::duration_cast<duration>(std::chrono::steady_clock::now() - begun).count());
+            std::chrono::duration_cast<duration>(std::chrono::steady_clock::now() - started_at).count());
         schedule_step();
     }
     return result;
@@ -147,7 +147,7 @@
         return jobs::outcome::undecided;
     }
     const jobs::outcome taken = jobs::decode_answer(result.answer).result;
-    logging::write(logging::event(part, "configuration", "A configuration is durable.")
+    logging::write(logging::event(part, "configuration", "A configuration was committed.")
                        .with("version", static_cast<std::int64_t>(value.version))
                        .with("in_force", taken == jobs::outcome::accepted ? 1 : 0)
                        .with("queues", static_cast<std::int64_t>(value.queues.size())));
@@ -156,7 +156,7 @@
 
 std::optional<std::string> control_server::read_configuration() const
 {
-    return machine_.read(
+    return state_machine_.read(
         [](const jobs::store& state) -> std::optional<std::string>
         {
             if (state.current().version == 0)
@@ -187,24 +187,24 @@
 template <typename Reader>
 bool control_server::service::read(wire::JobReply& reply, const Reader& reader) const
 {
-    // A process without processor time, or behind a long decision, may outlive its lease before it reads.
-    const bool certain = certified_read(
+    // The lease may expire before the read if the process is starved or waits for a long decision.
+    const bool is_valid = linearizable_read(
         [this]
         {
             return owner_.acting_term();
         },
         [&]
         {
-            owner_.machine_.read(reader);
+            owner_.state_machine_.read(reader);
         });
-    reply.set_acting(certain);
-    if (!certain)
+    reply.set_acting(is_valid);
+    if (!is_valid)
     {
         reply.Clear();
         reply.set_leader_address(owner_.driver_->status().leader_address);
         set_outcome(reply, jobs::outcome::not_leading);
     }
-    return certain;
+    return is_valid;
 }
 
 grpc::Status control_server::service::Submit(grpc::ServerContext* /*context*/,
@@ -212,14 +212,14 @@
                                              wire::JobReply* reply)
 {
     std::uint32_t max_body = 0;
-    addressed to;
-    const bool certain = read(*reply,
-                              [&](const jobs::store& state)
-                              {
-                                  max_body = state.current().max_body_bytes;
-                                  to = resolve(state, request->host(), request->path());
-                              });
-    if (!certain)
+    resolved_path to;
+    const bool is_valid = read(*reply,
+                               [&](const jobs::store& state)
+                               {
+                                   max_body = state.current().max_body_bytes;
+                                   to = resolve(state, request->host(), request->path());
+                               });
+    if (!is_valid)
     {
         return grpc::Status::OK;
     }
@@ -228,7 +228,7 @@
     {
         set_outcome(*reply, to.problem);
         reply->set_return_after_ms(
-            to.problem == jobs::outcome::unconfigured ? spread_return_ms(request->path()) : 0);
+            to.problem == jobs::outcome::unconfigured ? jittered_return_ms(request->path()) : 0);
         return grpc::Status::OK;
     }
     if (!is_job_id(to.id))
@@ -246,68 +246,71 @@
         set_outcome(*reply, jobs::outcome::known);
         return grpc::Status::OK;
     }
-    take(*request, to.of, to.id, *reply);
+    accept_submit(*request, to.queue, to.id, *reply);
     return grpc::Status::OK;
 }
 
-void control_server::service::take(const wire::SubmitRequest& request,
-                                   const jobs::queue& into,
-                                   const std::string& id,
-                                   wire::JobReply& reply)
+void control_server::service::accept_submit(const wire::SubmitRequest& request,
+                                            const jobs::queue& target_queue,
+                                            const std::string& id,
+                                            wire::JobReply& reply)
 {
-    const auto held = std::make_shared<const under_way::entry>(owner_.submits_, id);
-    if (owner_.refuses_jobs_ && !held->has_other())
+    const auto registration = std::make_shared<const in_flight_submits::entry>(owner_.submits_, id);
+    if (owner_.rejects_submits_ && !registration->has_duplicate())
     {
-        // Taken now it would wait behind all that the leader is late with; elsewhere, or later, it need not.
+        // The job would queue behind the leader's backlog; a retry later or through another entry need not.
         ++owner_.counts_.submits_refused;
         ++owner_.counts_.submits_refused_behind;
-        logging::write(logging::event(part, "job_not_taken", "The leader is behind with what it has.")
-                           .with("job", id)
-                           .with("queue", into.name));
+        logging::write(
+            logging::event(part, "job_not_taken", "The leader is overloaded; the job was rejected.")
+                .with("job", id)
+                .with("queue", target_queue.name));
         set_outcome(reply, jobs::outcome::refused);
-        reply.set_return_after_ms(spread_return_ms(request.path()));
+        reply.set_return_after_ms(jittered_return_ms(request.path()));
         return;
     }
     jobs::submit value;
     value.id = id;
-    value.taken_from = into;
+    value.source_queue = target_queue;
     value.spec = jobs::from_wire(request.spec());
     value.at_ms = time_of_day_ms();
-    const replica::proposal_result result = owner_.commit(value, milliseconds(request.limit_ms()), held);
+    const replica::proposal_result result =
+        owner_.commit(value, milliseconds(request.limit_ms()), registration);
     if (!result.error)
     {
         const jobs::outcome taken = jobs::decode_answer(result.answer).result;
-        logging::write(logging::event(part, "job_taken", "A job is durable.")
+        logging::write(logging::event(part, "job_taken", "A job was committed.")
                            .with("job", value.id)
-                           .with("queue", into.name)
-                           .with("priority", into.priority)
+                           .with("queue", target_queue.name)
+                           .with("priority", target_queue.priority)
                            .with("steps", request.spec().steps_size())
                            .with("outcome", static_cast<std::int64_t>(taken)));
         set_outcome(reply, taken);
         return;
     }
-    logging::write(logging::event(part, "job_not_taken", "A job could not be made durable.")
+    logging::write(logging::event(part, "job_not_taken", "A job was not committed.")
                        .with("job", value.id)
-                       .with("queue", into.name)
+                       .with("queue", target_queue.name)
                        .with("error", result.error.message()));
     const bool not_proposed =
         result.error == replica::errc::not_leader || result.error == replica::errc::queue_full;
-    const bool surely_not = not_proposed && !held->has_other(); // else an earlier try may yet be committed
+    const bool definitely_rejected =
+        not_proposed && !registration->has_duplicate(); // an earlier submit may still be committed
     if (result.error == replica::errc::not_leader)
     {
-        reply.set_acting(false); // it has just changed; the entry asks the next one
+        reply.set_acting(false); // the leader has just changed; the entry calls the next one
     }
-    owner_.counts_.submits_refused += surely_not ? 1 : 0;
-    owner_.counts_.submits_undecided += surely_not ? 0 : 1;
-    set_outcome(reply, surely_not ? jobs::outcome::refused : jobs::outcome::undecided);
-    reply.set_return_after_ms(spread_return_ms(request.path()));
+    owner_.counts_.submits_refused += definitely_rejected ? 1 : 0;
+    owner_.counts_.submits_undecided += definitely_rejected ? 0 : 1;
+    set_outcome(reply, definitely_rejected ? jobs::outcome::refused : jobs::outcome::undecided);
+    reply.set_return_after_ms(jittered_return_ms(request.path()));
 }
 
-void control_server::service::describe(const jobs::store& state,
-                                       const wire::JobRequest& request,
-                                       wire::JobReply& reply) const
+void control_server::service::describe_state(const jobs::store& state,
+                                             const wire::JobRequest& request,
+                                             wire::JobReply& reply) const
 {
-    const addressed to = resolve(state, request.host(), request.path());
+    const resolved_path to = resolve(state, request.host(), request.path());
     if (to.problem != jobs::outcome::accepted)
     {
         set_outcome(reply, to.problem);
@@ -316,15 +319,15 @@
     if (to.id.empty())
     {
         reply.set_is_count(true);
-        reply.set_pending(state.pending(to.of));
+        reply.set_pending(state.pending(to.queue));
         return;
     }
     if (!to.known_job)
     {
-        // Under the state's lock: a record that is applied before this read is known, one that isn't is held.
+        // Runs under the state's lock: every submit is either applied already or still registered.
         const bool undecided = owner_.submits_.contains(to.id);
         set_outcome(reply, undecided ? jobs::outcome::undecided : jobs::outcome::unknown_job);
-        reply.set_return_after_ms(undecided ? spread_return_ms(request.path()) : 0);
+        reply.set_return_after_ms(undecided ? jittered_return_ms(request.path()) : 0);
         return;
     }
     reply.set_phase(static_cast<std::uint32_t>(state.find(to.id)->phase));
@@ -337,7 +340,7 @@
     (void)read(*reply,
                [&](const jobs::store& state)
                {
-                   describe(state, *request, *reply);
+                   describe_state(state, *request, *reply);
                });
     return grpc::Status::OK;
 }
@@ -346,13 +349,13 @@
                                              const wire::JobRequest* request,
                                              wire::JobReply* reply)
 {
-    addressed to;
-    const bool certain = read(*reply,
-                              [&](const jobs::store& state)
-                              {
-                                  to = resolve(state, request->host(), request->path());
-                              });
-    if (!certain)
+    resolved_path to;
+    const bool is_valid = read(*reply,
+                               [&](const jobs::store& state)
+                               {
+                                   to = resolve(state, request->host(), request->path());
+                               });
+    if (!is_valid)
     {
         return grpc::Status::OK;
     }
@@ -363,15 +366,17 @@
         set_outcome(*reply, no_such_job ? jobs::outcome::unknown_job : to.problem);
         return grpc::Status::OK;
     }
-    // Recorded for an unknown id too: its submit may be in the log before it, or arrive later.
+    // Recorded for unknown ids too: the submit may precede the cancel in the log, or arrive later.
     const replica::proposal_result result =
         owner_.commit(jobs::cancel{to.id, time_of_day_ms()}, milliseconds(1500));
-    logging::write(logging::event(part, "job_cancelled", "A cancel was recorded, or could not be.")
+    logging::write(logging::event(part,
+                                  "job_cancelled",
+                                  "A cancel was proposed; an error means that it was not committed.")
                        .with("job", to.id)
                        .with("error", result.error ? result.error.message() : ""));
     if (result.error == replica::errc::not_leader)
     {
-        reply->set_acting(false); // nothing was recorded; the entry asks the next leader
+        reply->set_acting(false); // nothing was recorded; the entry calls the next leader
         set_outcome(*reply, jobs::outcome::not_leading);
         return grpc::Status::OK;
     }
@@ -400,7 +405,7 @@
                                                         wire::ReadConfigurationReply* reply)
 {
     std::optional<std::string> document;
-    const bool certain = certified_read(
+    const bool is_valid = linearizable_read(
         [this]
         {
             return owner_.acting_term();
@@ -409,8 +414,8 @@
         {
             document = owner_.read_configuration();
         });
-    reply->set_acting(certain);
-    if (certain)
+    reply->set_acting(is_valid);
+    if (is_valid)
     {
         reply->set_present(document.has_value());
         reply->set_document(document.value_or(std::string()));
@@ -436,10 +441,10 @@
     std::vector<fleet::worker_life> alive;
     for (int i = 0; i < request->alive_size(); ++i)
     {
-        const bool told = i < request->alive_born_ms_size(); // not by an older control VM
-        alive.push_back({request->alive(i), told ? request->alive_born_ms(i) : 0});
+        const bool has_born_ms = i < request->alive_born_ms_size(); // absent from older control VMs
+        alive.push_back({request->alive(i), has_born_ms ? request->alive_born_ms(i) : 0});
     }
-    for (const fleet::worker_life& life : owner_.note_alive(alive))
+    for (const fleet::worker_life& life : owner_.refresh_alive(alive))
     {
         reply->add_unknown(life.id);
         reply->add_unknown_born_ms(life.born_ms);
--- a/src/jobs/store.cpp
+++ b/src/jobs/store.cpp
@@ -8,19 +8,19 @@
 namespace
 {
 
-// Pairs of images: some 100 KB; the users' services have 45 pairs.
-constexpr std::size_t most_learned = 2000;
-constexpr std::size_t max_copies = 2; // a copy for a straggler; a third gains nothing
+// Pairs of images: about 100 KB; the users' services have 45 pairs.
+constexpr std::size_t max_learned_effects = 2000;
+constexpr std::size_t max_copies = 2; // one copy for a straggler; a third run brings no further gain
 
-bool has_runs(const job& one)
+bool has_runs(const job& owner)
 {
-    for (const auto& [number, at] : one.occurrences)
+    for (const auto& [number, instance] : owner.occurrences)
     {
-        for (const step& in : at.steps)
+        for (const step& parent_step : instance.steps)
         {
-            for (const task& of : in.tasks)
+            for (const task& member : parent_step.tasks)
             {
-                if (!of.runs.empty())
+                if (!member.runs.empty())
                 {
                     return true;
                 }
@@ -30,20 +30,20 @@
     return false;
 }
 
-/// @brief Whether only a worker that had begun a run can have told this end of it.
-constexpr bool tells_begun(run_end how) noexcept
+/// @brief Whether this end implies that a worker had begun the run.
+constexpr bool implies_begun(run_end how) noexcept
 {
     return how == run_end::done || how == run_end::failed || how == run_end::broken || how == run_end::alone;
 }
 
-task* find_task(job& of, const task_name& name) noexcept
+task* find_task(job& owner, const task_name& name) noexcept
 {
-    const auto at = of.occurrences.find(name.occurrence);
-    if (at == of.occurrences.end() || name.step >= at->second.steps.size())
+    const auto found = owner.occurrences.find(name.occurrence);
+    if (found == owner.occurrences.end() || name.step >= found->second.steps.size())
     {
         return nullptr;
     }
-    std::vector<task>& tasks = at->second.steps[name.step].tasks;
+    std::vector<task>& tasks = found->second.steps[name.step].tasks;
     return name.index < tasks.size() ? &tasks[name.index] : nullptr;
 }
 
@@ -70,34 +70,36 @@
     {
         return nullptr;
     }
-    return find_task(const_cast<job&>(found->second), name); // read only; one walk for both forms
+    return find_task(const_cast<job&>(found->second), name); // does not modify the job
 }
 
-std::uint32_t store::pending(const queue& of) const noexcept
+std::uint32_t store::pending(const queue& counted_queue) const noexcept
 {
     return static_cast<std::uint32_t>(std::count_if(live_.begin(),
                                                     live_.end(),
-                                                    [&of](const auto& entry)
+                                                    [&counted_queue](const auto& entry)
                                                     {
                                                         const job& one = *entry.second;
-                                                        return !one.begun && one.taken_from.host == of.host &&
-                                                               one.taken_from.path_prefix == of.path_prefix;
+                                                        return !one.begun &&
+                                                               one.source_queue.host == counted_queue.host &&
+                                                               one.source_queue.path_prefix ==
+                                                                   counted_queue.path_prefix;
                                                     }));
 }
 
 // ---- commands ----------------------------------------------------------------------------------
 
-answer store::apply(const command& value)
+command_answer store::apply(const command& value)
 {
     return std::visit(
         [this](const auto& one)
         {
-            return on(one);
+            return apply_command(one);
         },
         value);
 }
 
-answer store::on(const configure& value)
+command_answer store::apply_command(const configure& value)
 {
     if (value.value.version <= configuration_.version)
     {
@@ -108,19 +110,19 @@
     return {outcome::accepted, {}};
 }
 
-answer store::on(const submit& value)
+command_answer store::apply_command(const submit& value)
 {
     if (jobs_.contains(value.id))
     {
         return {outcome::known, {}};
     }
-    if (find_fault(value.spec).has_value())
+    if (find_spec_error(value.spec).has_value())
     {
         return {outcome::invalid, {}};
     }
     job& added = jobs_[value.id];
     added.id = value.id;
-    added.taken_from = value.taken_from;
+    added.source_queue = value.source_queue;
     added.spec = value.spec;
     added.accepted_at_ms = value.at_ms;
     added.order = next_order_;
@@ -129,7 +131,7 @@
     if (early_cancels_.erase(value.id))
     {
         finish(added, job_phase::cancelled, value.at_ms);
-        note_leftover(added);
+        update_ended_with_runs(added);
         return {outcome::accepted, {}};
     }
     if (value.spec.repeat_count == 0)
@@ -140,7 +142,7 @@
     return {outcome::accepted, {}};
 }
 
-answer store::on(const cancel& value)
+command_answer store::apply_command(const cancel& value)
 {
     job* found = find_mutable(value.id);
     if (found == nullptr)
@@ -151,14 +153,14 @@
     if (!is_final(found->phase))
     {
         finish(*found, job_phase::cancelled, value.at_ms);
-        note_leftover(*found);
+        update_ended_with_runs(*found);
     }
     return {outcome::accepted, {}};
 }
 
-answer store::on(const round& value)
+command_answer store::apply_command(const round& value)
 {
-    answer result;
+    command_answer result;
     for (const run_ended& ended : value.ends)
     {
         end_run(ended, value.at_ms);
@@ -180,20 +182,20 @@
     {
         if (job* found = find_mutable(id); found != nullptr)
         {
-            note_begun(*found);
+            mark_begun(*found);
         }
     }
     for (const job_id& id : value.forgotten)
     {
         const job* found = find(id);
-        if (found != nullptr && is_final(found->phase) && !leftover_.contains(id))
+        if (found != nullptr && is_final(found->phase) && !ended_with_runs_.contains(id))
         {
             jobs_.erase(id);
         }
     }
     for (const learned_effect& one : value.learned)
     {
-        learn(one);
+        record_effect(one);
     }
     if (!value.ends.empty() || !value.starts.empty() || !value.due.empty() || !value.forgotten.empty())
     {
@@ -202,10 +204,10 @@
     return result;
 }
 
-void store::learn(const learned_effect& value)
+void store::record_effect(const learned_effect& value)
 {
     learned_[value.images] = value;
-    if (learned_.size() <= most_learned)
+    if (learned_.size() <= max_learned_effects)
     {
         return;
     }
@@ -219,11 +221,11 @@
     learned_.erase(least_known);
 }
 
-void store::start_occurrence(job& of, std::uint32_t number)
+void store::start_occurrence(job& owner, std::uint32_t number)
 {
-    occurrence& added = of.occurrences[number];
+    occurrence& added = owner.occurrences[number];
     added.number = number;
-    for (const step_spec& spec : of.spec.steps)
+    for (const step_spec& spec : owner.spec.steps)
     {
         step made;
         made.tasks.resize(spec.task_count);
@@ -233,44 +235,44 @@
 
 bool store::start_run(const run_started& started)
 {
-    job* of = find_mutable(started.name.task.job);
-    if (of == nullptr || is_final(of->phase))
+    job* owner = find_mutable(started.name.task.job);
+    if (owner == nullptr || is_final(owner->phase))
     {
         return false;
     }
-    task* found = find_task(*of, started.name.task);
+    task* found = find_task(*owner, started.name.task);
     if (found == nullptr || found->phase == task_phase::done || started.name.attempt <= found->last_attempt)
     {
         return false;
     }
-    const step_spec& spec = of->spec.steps[started.name.task.step];
+    const step_spec& spec = owner->spec.steps[started.name.task.step];
     const std::size_t most = spec.copies_allowed ? max_copies : 1;
     if (found->runs.size() >= most ||
-        !of->is_ready(of->occurrences.at(started.name.task.occurrence), started.name.task.step))
+        !owner->is_ready(owner->occurrences.at(started.name.task.occurrence), started.name.task.step))
     {
         return false;
     }
     found->phase = task_phase::running;
     found->last_attempt = started.name.attempt;
     found->runs.push_back({started.name.attempt, started.worker, started.address});
-    // The order isn't sent yet and may reach nobody: the job waits until a worker is known to have begun it.
-    of->granted = true;
+    // The order is not sent yet and may not reach a worker: the job stays queued until a worker has begun it.
+    owner->granted = true;
     return true;
 }
 
-void store::note_begun(job& of)
+void store::mark_begun(job& owner)
 {
-    of.begun = true;
-    if (of.phase == job_phase::queued)
+    owner.begun = true;
+    if (owner.phase == job_phase::queued)
     {
-        of.phase = job_phase::running;
+        owner.phase = job_phase::running;
     }
 }
 
 void store::end_run(const run_ended& ended, std::int64_t at_ms)
 {
-    job* of = find_mutable(ended.name.task.job);
-    task* found = of == nullptr ? nullptr : find_task(*of, ended.name.task);
+    job* owner = find_mutable(ended.name.task.job);
+    task* found = owner == nullptr ? nullptr : find_task(*owner, ended.name.task);
     if (found == nullptr)
     {
         return;
@@ -282,38 +284,38 @@
                                               });
     if (removed == 0)
     {
-        return; // counted already
+        return; // already applied
     }
-    if (tells_begun(ended.how))
+    if (implies_begun(ended.how))
     {
-        note_begun(*of);
+        mark_begun(*owner);
     }
-    const bool was_live = !is_final(of->phase);
-    occurrence& at = of->occurrences.at(ended.name.task.occurrence);
+    const bool was_live = !is_final(owner->phase);
+    occurrence& instance = owner->occurrences.at(ended.name.task.occurrence);
     if (found->phase != task_phase::done)
     {
-        end_task_run(*of, at, *found, ended);
+        end_task_run(*owner, instance, *found, ended);
     }
-    if (was_live && is_spent(*of, at, ended.name.task))
+    if (was_live && fails_job(*owner, instance, ended.name.task))
     {
-        finish(*of, job_phase::failed, at_ms);
+        finish(*owner, job_phase::failed, at_ms);
     }
-    else if (was_live && of->occurrences_done == of->occurrence_count())
+    else if (was_live && owner->occurrences_done == owner->occurrence_count())
     {
-        finish(*of, job_phase::completed, at_ms);
+        finish(*owner, job_phase::completed, at_ms);
     }
-    if (is_final(of->phase))
+    if (is_final(owner->phase))
     {
-        note_leftover(*of);
+        update_ended_with_runs(*owner);
     }
 }
 
-void store::end_task_run(job& of, occurrence& at, task& ending, const run_ended& ended)
+void store::end_task_run(job& owner, occurrence& instance, task& ending, const run_ended& ended)
 {
-    const step_spec& spec = of.spec.steps[ended.name.task.step];
+    const step_spec& spec = owner.spec.steps[ended.name.task.step];
     if (ended.how == run_end::done && !spec.lasting)
     {
-        note_done(of, at, ended);
+        mark_done(owner, instance, ended);
         return;
     }
     if (ended.how == run_end::failed)
@@ -321,10 +323,10 @@
         ++ending.failures;
         if (spec.gang)
         {
-            at.steps[ended.name.task.step].failed_attempts.insert(ended.name.attempt);
+            instance.steps[ended.name.task.step].failed_attempts.insert(ended.name.attempt);
         }
     }
-    ending.evidence.note(ended.sign);
+    ending.evidence.add(ended.sign);
     ending.phase = ending.runs.empty() ? task_phase::waiting : task_phase::running;
     if (!ended.saved.empty())
     {
@@ -332,41 +334,41 @@
     }
 }
 
-void store::note_done(job& of, occurrence& at, const run_ended& ended)
+void store::mark_done(job& owner, occurrence& instance, const run_ended& ended)
 {
-    step& in = at.steps[ended.name.task.step];
-    const bool gang = of.spec.steps[ended.name.task.step].gang;
-    for (std::uint32_t i = 0; i < in.tasks.size(); ++i)
+    step& parent_step = instance.steps[ended.name.task.step];
+    const bool gang = owner.spec.steps[ended.name.task.step].gang;
+    for (std::uint32_t i = 0; i < parent_step.tasks.size(); ++i)
     {
-        // The end of one member of a gang stands for all of them.
-        if ((gang || i == ended.name.task.index) && in.tasks[i].phase != task_phase::done)
+        // When one member of a gang is done, all of them are.
+        if ((gang || i == ended.name.task.index) && parent_step.tasks[i].phase != task_phase::done)
         {
-            in.tasks[i].phase = task_phase::done;
-            in.tasks[i].saved.clear();
-            ++in.done;
+            parent_step.tasks[i].phase = task_phase::done;
+            parent_step.tasks[i].saved.clear();
+            ++parent_step.done;
         }
     }
-    const bool all = std::all_of(at.steps.begin(),
-                                 at.steps.end(),
+    const bool all = std::all_of(instance.steps.begin(),
+                                 instance.steps.end(),
                                  [](const step& one)
                                  {
                                      return one.done == one.tasks.size();
                                  });
-    of.occurrences_done += all ? 1 : 0;
+    owner.occurrences_done += all ? 1 : 0;
 }
 
-bool store::is_spent(const job& of, const occurrence& at, const task_name& name)
+bool store::fails_job(const job& owner, const occurrence& instance, const task_name& name)
 {
-    const step_spec& spec = of.spec.steps[name.step];
-    const step& in = at.steps[name.step];
-    const task& ended = in.tasks[name.index];
+    const step_spec& spec = owner.spec.steps[name.step];
+    const step& parent_step = instance.steps[name.step];
+    const task& ended = parent_step.tasks[name.index];
     if (ended.phase == task_phase::done)
     {
         return false;
     }
-    // Only ends "failed" counted once, and a task that crashed its workers never ends so: it was granted
-    // again without end.
-    if (ended.evidence.suffices())
+    // Crashes are checked separately: a task that crashes its workers never ends as `failed`, so without this
+    // check it would be started again forever.
+    if (ended.evidence.exceeds_limit())
     {
         return true;
     }
@@ -374,30 +376,30 @@
     {
         return false;
     }
-    const std::size_t failures = spec.gang ? in.failed_attempts.size() : ended.failures;
-    return failures >= of.taken_from.max_failures;
+    const std::size_t failures = spec.gang ? parent_step.failed_attempts.size() : ended.failures;
+    return failures >= owner.source_queue.max_failures;
 }
 
-void store::finish(job& of, job_phase phase, std::int64_t at_ms)
+void store::finish(job& owner, job_phase phase, std::int64_t at_ms)
 {
-    of.phase = phase;
-    of.ended_at_ms = at_ms;
-    live_.erase(of.order);
+    owner.phase = phase;
+    owner.ended_at_ms = at_ms;
+    live_.erase(owner.order);
     ++revision_;
 }
 
-void store::note_leftover(job& of)
+void store::update_ended_with_runs(job& owner)
 {
-    if (has_runs(of))
+    if (has_runs(owner))
     {
-        leftover_.insert(of.id);
+        ended_with_runs_.insert(owner.id);
         return;
     }
-    leftover_.erase(of.id);
-    // Only its state is asked for from now on. Kept whole, the jobs of the last minutes are most of a
-    // snapshot, and a lost disk comes back after as long as a snapshot's way takes.
-    of.spec = {};
-    of.occurrences.clear();
+    ended_with_runs_.erase(owner.id);
+    // From now on only the job's state is read. Complete, the jobs that ended in the last minutes would make
+    // up most of a snapshot and delay the recovery of a lost disk, which has to transfer it.
+    owner.spec = {};
+    owner.occurrences.clear();
 }
 
 } // namespace plumspoke::jobs
--- a/tests/src/unit-replica_snapshots.cpp
+++ b/tests/src/unit-replica_snapshots.cpp
@@ -5,7 +5,7 @@
 /// so with equal intervals the leader and its quorum would stop responding at the same entry.
 
 #include "plumspoke/jobs/codec.hpp"
-#include "plumspoke/jobs/machine.hpp"
+#include "plumspoke/jobs/job_state_machine.hpp"
 #include "plumspoke/replica/driver.hpp"
 
 #include <array>
@@ -84,7 +84,7 @@
     for (const std::string id : {"one.first", "other.first"})
     {
         const std::filesystem::path folder = std::filesystem::path(pattern) / id;
-        jobs::machine machine;
+        jobs::job_state_machine machine;
         null_transport network;
         log_index applied = 0;
         {
