--- a/include/plumspoke/dispatch/dispatcher.hpp
+++ b/include/plumspoke/dispatch/dispatcher.hpp
@@ -443,7 +443,7 @@
     [[nodiscard]] bool leaves_headroom(const worker_view& worker, const ready_step& step) const;
 
     // ---- reservations for restarts (restart_reservations.cpp)
-    [[nodiscard]] jobs::room capacity_beside_lasting(const worker_view& worker) const;
+    [[nodiscard]] jobs::resources capacity_beside_lasting(const worker_view& worker) const;
     void reserve_workers(time_point now, const ready_step& step, std::uint32_t waiting);
 
     // ---- interference by fillers (filler_interference.cpp)
--- a/include/plumspoke/job_server/entry_server.hpp
+++ b/include/plumspoke/job_server/entry_server.hpp
@@ -1,11 +1,11 @@
 #pragma once
 
 /// @file
-/// @brief The entry role for jobs made of steps: takes callers' requests to the leader. It keeps no
-///        state: queues, jobs and the configuration are the leader's, so an entry is never out of date.
+/// @brief The entry role for jobs made of steps: forwards callers' requests to the leader. It is stateless:
+///        queues, jobs and the configuration are read from the leader, so an entry is never out of date.
 
 #include "plumspoke/http/server.hpp"
-#include "plumspoke/job_server/leader_link.hpp"
+#include "plumspoke/job_server/leader_client.hpp"
 #include "plumspoke/metrics/metrics.hpp"
 #include "plumspoke/protocol/protocol.hpp"
 #include "plumspoke/settings/job_settings.hpp"
@@ -22,12 +22,12 @@
 namespace plumspoke::job_server
 {
 
-/// @brief Requests by how they ended.
+/// @brief Requests by outcome.
 struct entry_counts
 {
     std::atomic<std::uint64_t> requests{0};
     std::atomic<std::uint64_t> bad_requests{0};
-    std::array<std::atomic<std::uint64_t>, 10> outcomes{}; // by jobs::outcome
+    std::array<std::atomic<std::uint64_t>, 10> outcomes{}; // indexed by jobs::outcome
 };
 
 /// @brief One entry process.
@@ -43,37 +43,39 @@
 
     [[nodiscard]] std::error_code start();
 
-    /// @brief No longer ready; answers all that is taken until the stop ends, also what comes on open
-    /// connections.
+    /// @brief Reports not ready and answers all requests until the drain ends, including those that arrive on
+    ///        open connections.
     void stop();
 
   private:
     struct job_answer;
 
-    [[nodiscard]] http::response answer(const http::request& received);
+    [[nodiscard]] http::response handle(const http::request& received);
+    [[nodiscard]] protocol::caller_answer forward(const protocol::caller_request& parsed,
+                                                  const protocol::submit_call& call,
+                                                  std::size_t body_bytes);
     [[nodiscard]] protocol::caller_answer
-    carry(const protocol::caller_request& asked, const protocol::submit_call& call, std::size_t body_bytes);
+    forward(const protocol::caller_request& parsed, const protocol::read_call& call, std::size_t body_bytes);
+    [[nodiscard]] protocol::caller_answer forward(const protocol::caller_request& parsed,
+                                                  const protocol::cancel_call& call,
+                                                  std::size_t body_bytes);
     [[nodiscard]] protocol::caller_answer
-    carry(const protocol::caller_request& asked, const protocol::read_call& call, std::size_t body_bytes);
-    [[nodiscard]] protocol::caller_answer
-    carry(const protocol::caller_request& asked, const protocol::cancel_call& call, std::size_t body_bytes);
-    [[nodiscard]] protocol::caller_answer
-    ask_leader(const protocol::caller_request& asked,
-               bool changes_something,
-               const std::function<job_answer(control_channel&, grpc::ClientContext&, duration)>& ask);
+    call_leader(const protocol::caller_request& parsed,
+                bool is_mutation,
+                const std::function<job_answer(control_channel&, grpc::ClientContext&, duration)>& send);
     [[nodiscard]] bool ready() const;
-    [[nodiscard]] http::response answer_metrics() const;
-    [[nodiscard]] time_point deadline_of(const protocol::caller_request& asked) const;
+    [[nodiscard]] http::response metrics_response() const;
+    [[nodiscard]] time_point deadline_of(const protocol::caller_request& parsed) const;
 
     settings::job_settings settings_;
     const protocol::caller_protocol& callers_;
-    leader_link link_;
+    leader_client leader_client_;
     std::unique_ptr<http::server> http_;
     std::unique_ptr<http::server> readiness_http_;
     std::unique_ptr<http::server> metrics_http_;
     entry_counts counts_;
     metrics::latency_histogram answer_times_;
-    time_point answer_by_{}; // while draining; written before draining_ is set
+    time_point answer_deadline_{}; // valid while draining; written before draining_ is set
     std::atomic<bool> draining_{false};
     std::atomic<bool> stopped_{false};
 };
--- a/src/control/state_jobs.cpp
+++ b/src/control/state_jobs.cpp
@@ -222,13 +222,13 @@
 void handle_lost_task(control_state& state, job& lost, const std::string& reason, jobs::crash_sign sign)
 {
     ++state.counters.tasks_lost;
-    lost.evidence.note(sign);
+    lost.evidence.add(sign);
     if (sign == jobs::crash_sign::blamed)
     {
         record_failed_worker(lost, lost.live->worker);
     }
     interrupt_task(state, lost, "lost: " + reason);
-    if (!lost.finished() && lost.evidence.suffices())
+    if (!lost.finished() && lost.evidence.exceeds_limit())
     {
         ++state.counters.jobs_failed;
         finish(state,
@@ -253,7 +253,7 @@
 }
 
 /// Requeues the jobs of a replaced process. Of the jobs for which the crash counts, those blamed most often
-/// before are blamed; find_blamed() decides whether that sets them apart.
+/// before are blamed; max_prior_blame() decides whether that sets them apart.
 void handle_lost_process(control_state& state,
                          const std::vector<std::string>& assigned_jobs,
                          std::span<const crashed_job> crashed)
@@ -266,7 +266,7 @@
             evidence.push_back(state.jobs.at(id).evidence);
         }
     }
-    const std::optional<std::uint32_t> blamed_before = jobs::find_blamed(evidence);
+    const std::optional<std::uint32_t> blamed_before = jobs::max_prior_blame(evidence);
     for (const std::string& id : assigned_jobs)
     {
         job& lost = state.jobs.at(id);
--- a/src/dispatch/placement.cpp
+++ b/src/dispatch/placement.cpp
@@ -131,7 +131,7 @@
         if (step.kind() == work_kind::short_task && step.lateness != lateness_class::hopeless)
         {
             short_tasks += step.count_waiting();
-            allowed_ms = std::min<double>(allowed_ms, step.job->taken_from.objective_extra_ms);
+            allowed_ms = std::min<double>(allowed_ms, step.job->source_queue.objective_extra_ms);
         }
     }
     const double overhead_ms = stage_delays_.overhead_ms(work_kind::short_task);
--- a/src/dispatch/ready_steps.cpp
+++ b/src/dispatch/ready_steps.cpp
@@ -33,7 +33,7 @@
 {
     const std::uint32_t estimate_ms = job.spec.steps[step].estimate_ms;
     return is_on(mechanism::predicted_lateness)
-               ? duration_predictor_.predict_ms(job.taken_from.name, estimate_ms)
+               ? duration_predictor_.predict_ms(job.source_queue.name, estimate_ms)
                : estimate_ms;
 }
 
@@ -61,8 +61,8 @@
     const std::int64_t since = job.spec.repeat_count == 0
                                    ? job.accepted_at_ms
                                    : job.spec.first_due_ms + ready.at->number * job.spec.interval_ms;
-    const auto objective_ms = static_cast<std::int64_t>(job.taken_from.objective_factor * chain.total_ms) +
-                              job.taken_from.objective_extra_ms;
+    const auto objective_ms = static_cast<std::int64_t>(job.source_queue.objective_factor * chain.total_ms) +
+                              job.source_queue.objective_extra_ms;
     const auto remaining_ms = predicts ? static_cast<std::int64_t>(chain.remaining_ms) : 0;
     ready.deadline_ms = since + objective_ms - remaining_ms;
     const std::int64_t age_ms = day_ms - since + remaining_ms;
@@ -118,10 +118,10 @@
                      ready.end(),
                      [](const ready_step& left, const ready_step& right)
                      {
-                         return std::tuple(left.job->taken_from.priority,
+                         return std::tuple(left.job->source_queue.priority,
                                            !left.takes_precedence,
                                            left.lateness,
-                                           left.deadline_ms) < std::tuple(right.job->taken_from.priority,
+                                           left.deadline_ms) < std::tuple(right.job->source_queue.priority,
                                                                           !right.takes_precedence,
                                                                           right.lateness,
                                                                           right.deadline_ms);
--- a/src/dispatch/wait_report.cpp
+++ b/src/dispatch/wait_report.cpp
@@ -102,7 +102,7 @@
     {
         const auto at = runs_.lower_bound({{id, 0, 0, 0}, 0});
         const bool tracked = at != runs_.end() && at->first.task.job == id;
-        if (day_ms < cancelled_at_ms + cancel_overdue_ms || !state.leftover().contains(id))
+        if (day_ms < cancelled_at_ms + cancel_overdue_ms || !state.ended_with_runs().contains(id))
         {
             continue;
         }
--- a/src/job_server/control_http.cpp
+++ b/src/job_server/control_http.cpp
@@ -1,9 +1,9 @@
 /// @file
-/// @brief What operators and workers ask over HTTP, at any control VM.
+/// @brief HTTP requests of operators and workers, served by any control VM.
 
 #include "control_service.hpp"
-#include "listener_watch.hpp"
-#include "plumspoke/job_server/certified_read.hpp"
+#include "grpc_log.hpp"
+#include "plumspoke/job_server/linearizable_read.hpp"
 #include "plumspoke/jobs/codec.hpp"
 #include "plumspoke/logging/event.hpp"
 
@@ -14,13 +14,13 @@
 {
 
 constexpr const char* part = "control";
-// Operators and workers go on to another control VM after a second.
-constexpr auto answer_limit = milliseconds(800);
-constexpr auto relay_interval = milliseconds(400); // tells the leader who is alive
-constexpr auto relay_limit = milliseconds(600);
-constexpr auto registry_silence = seconds(10); // nine missed announcements
+// Operators and workers try another control VM after a second.
+constexpr auto answer_timeout = milliseconds(800);
+constexpr auto relay_interval = milliseconds(400); // of liveness reports to the leader
+constexpr auto relay_timeout = milliseconds(600);
+constexpr auto registry_expiry = seconds(10); // nine missed announcements
 
-http::response plain(int status, std::string text = {})
+http::response json_response(int status, std::string text = {})
 {
     http::response out;
     out.status = status;
@@ -29,82 +29,82 @@
     return out;
 }
 
-/// @brief Turns a gRPC call into how it ended, as far as the leader link needs it.
-call_end end_of(const grpc::Status& status, bool acting)
+/// @brief Maps the status of a gRPC call to the result that leader_client expects.
+call_result to_call_result(const grpc::Status& status, bool acting)
 {
     if (!status.ok())
     {
-        return call_end::unknown;
+        return call_result::unknown;
     }
-    return acting ? call_end::answered : call_end::not_done;
+    return acting ? call_result::answered : call_result::not_executed;
 }
 
 } // namespace
 
-http::response control_server::answer(const http::request& received)
+http::response control_server::handle(const http::request& received)
 {
     const protocol::control_call call = operators_.read(received);
     return std::visit(
         [this](const auto& one)
         {
-            return answer(one);
+            return handle(one);
         },
         call);
 }
 
-http::response control_server::answer(const protocol::bad_call& call)
+http::response control_server::handle(const protocol::bad_call& call)
 {
     ++counts_.calls_invalid;
     logging::write(logging::event(part, "call_refused", call.message).with("status", call.status));
-    return plain(call.status, nlohmann::json{{"error", call.message}}.dump());
+    return json_response(call.status, nlohmann::json{{"error", call.message}}.dump());
 }
 
 // ---- configuration -----------------------------------------------------------------------------
 
-http::response control_server::answer(const protocol::configure_call& call)
+http::response control_server::handle(const protocol::configure_call& call)
 {
     ++counts_.configurations;
     if (acting())
     {
-        const jobs::outcome result = configure(call.value, answer_limit);
+        const jobs::outcome result = configure(call.value, answer_timeout);
         if (result == jobs::outcome::accepted || result == jobs::outcome::known)
         {
-            return plain(200, "{}");
+            return json_response(200, "{}");
         }
     }
     bool durable = false;
-    const call_end end = link_.call(std::chrono::steady_clock::now() + answer_limit,
-                                    [&](control_channel& to, duration limit)
-                                    {
-                                        grpc::ClientContext context;
-                                        set_limit(context, limit);
-                                        wire::ConfigureRequest request;
-                                        *request.mutable_configuration() = jobs::to_wire(call.value);
-                                        wire::ConfigureReply reply;
-                                        const grpc::Status status =
-                                            to.stub().Configure(&context, request, &reply);
-                                        durable = status.ok() && reply.durable();
-                                        return end_of(status, reply.acting());
-                                    });
-    if (end == call_end::answered && durable)
+    const call_result end =
+        leader_client_.call(std::chrono::steady_clock::now() + answer_timeout,
+                            [&](control_channel& to, duration limit)
+                            {
+                                grpc::ClientContext context;
+                                set_timeout(context, limit);
+                                wire::ConfigureRequest request;
+                                *request.mutable_configuration() = jobs::to_wire(call.value);
+                                wire::ConfigureReply reply;
+                                const grpc::Status status = to.stub().Configure(&context, request, &reply);
+                                durable = status.ok() && reply.durable();
+                                return to_call_result(status, reply.acting());
+                            });
+    if (end == call_result::answered && durable)
     {
-        return plain(200, "{}");
+        return json_response(200, "{}");
     }
     ++counts_.configurations_unanswered;
     logging::write(
-        logging::event(part, "configuration_unanswered", "A configuration could not be made durable in time.")
+        logging::event(part, "configuration_unanswered", "The configuration was not committed in time.")
             .with("version", static_cast<std::int64_t>(call.value.version))
-            .with("known_leader", link_.leader()));
-    return plain(503, R"({"error":"no leader has answered in time"})");
+            .with("known_leader", leader_client_.leader()));
+    return json_response(503, R"({"error":"no leader has answered in time"})");
 }
 
-http::response control_server::answer(const protocol::read_configuration_call& /*call*/)
+http::response control_server::handle(const protocol::read_configuration_call& /*call*/)
 {
     std::optional<std::string> document;
     bool certified = false;
     if (acting())
     {
-        certified = certified_read(
+        certified = linearizable_read(
             [this]
             {
                 return acting_term();
@@ -116,30 +116,30 @@
     }
     else
     {
-        const call_end end =
-            link_.call(std::chrono::steady_clock::now() + answer_limit,
-                       [&](control_channel& to, duration limit)
-                       {
-                           grpc::ClientContext context;
-                           set_limit(context, limit);
-                           wire::ReadConfigurationReply reply;
-                           const grpc::Status status = to.stub().ReadConfiguration(&context, {}, &reply);
-                           document = reply.present() ? std::optional(reply.document()) : std::nullopt;
-                           return end_of(status, reply.acting());
-                       });
-        certified = end == call_end::answered;
+        const call_result end = leader_client_.call(
+            std::chrono::steady_clock::now() + answer_timeout,
+            [&](control_channel& to, duration limit)
+            {
+                grpc::ClientContext context;
+                set_timeout(context, limit);
+                wire::ReadConfigurationReply reply;
+                const grpc::Status status = to.stub().ReadConfiguration(&context, {}, &reply);
+                document = reply.present() ? std::optional(reply.document()) : std::nullopt;
+                return to_call_result(status, reply.acting());
+            });
+        certified = end == call_result::answered;
     }
     if (!certified || !document.has_value())
     {
         ++counts_.reads_refused;
-        return plain(503, R"({"error":"the newest configuration is not known for sure"})");
+        return json_response(503, R"({"error":"the newest configuration is not known for sure"})");
     }
-    return plain(200, *document);
+    return json_response(200, *document);
 }
 
 // ---- workers -----------------------------------------------------------------------------------
 
-http::response control_server::answer(const protocol::announce_call& call)
+http::response control_server::handle(const protocol::announce_call& call)
 {
     ++counts_.announcements;
     const time_point now = std::chrono::steady_clock::now();
@@ -150,29 +150,29 @@
     if (acting())
     {
         deliver({call.worker});
-        return plain(200, "{}");
+        return json_response(200, "{}");
     }
     if (wait_until_relayed(call.worker.life))
     {
-        return plain(200, "{}");
+        return json_response(200, "{}");
     }
     ++counts_.announcements_refused;
-    return plain(503, R"({"error":"the leader is not reached"})");
+    return json_response(503, R"({"error":"the leader is not reached"})");
 }
 
-http::response control_server::answer(const protocol::goodbye_call& call)
+http::response control_server::handle(const protocol::goodbye_call& call)
 {
     const time_point now = std::chrono::steady_clock::now();
-    std::vector<fleet::announcement> concerned;
+    std::vector<fleet::announcement> changed;
     {
         const std::lock_guard lock(registry_mutex_);
-        concerned = registry_.say_goodbye(now, call.worker);
+        changed = registry_.say_goodbye(now, call.worker);
     }
-    if (!concerned.empty() && acting())
+    if (!changed.empty() && acting())
     {
-        deliver(concerned);
+        deliver(changed);
     }
-    return plain(200, "{}");
+    return json_response(200, "{}");
 }
 
 bool control_server::wait_until_relayed(const fleet::worker_life& life)
@@ -180,15 +180,15 @@
     std::unique_lock lock(registry_mutex_);
     const auto is_relayed = [&]
     {
-        return stopping_ || registry_.is_relayed(link_.leader_term(), life);
+        return stopping_ || registry_.is_relayed(leader_client_.leader_term(), life);
     };
     if (!is_relayed())
     {
         relay_pending_ = true;
-        relay_wanted_.notify_one();
-        relayed_.wait_for(lock, answer_limit, is_relayed);
+        relay_requested_.notify_one();
+        relay_done_.wait_for(lock, answer_timeout, is_relayed);
     }
-    return registry_.is_relayed(link_.leader_term(), life);
+    return registry_.is_relayed(leader_client_.leader_term(), life);
 }
 
 void control_server::relay_announcements()
@@ -197,16 +197,16 @@
     {
         {
             std::unique_lock lock(registry_mutex_);
-            relay_wanted_.wait_for(lock,
-                                   relay_interval,
-                                   [this]
-                                   {
-                                       return stopping_ || relay_pending_;
-                                   });
+            relay_requested_.wait_for(lock,
+                                      relay_interval,
+                                      [this]
+                                      {
+                                          return stopping_ || relay_pending_;
+                                      });
             relay_pending_ = false;
-            registry_.expire(std::chrono::steady_clock::now(), registry_silence);
+            registry_.expire(std::chrono::steady_clock::now(), registry_expiry);
         }
-        const std::uint64_t term = link_.leader_term();
+        const std::uint64_t term = leader_client_.leader_term();
         if (term != 0 && !acting())
         {
             relay_once(term);
@@ -237,29 +237,29 @@
         *request.add_changed() = to_wire(one);
     }
     wire::RelayReply reply;
-    const call_end end = link_.call(std::chrono::steady_clock::now() + relay_limit,
-                                    [&](control_channel& to, duration limit)
-                                    {
-                                        grpc::ClientContext context;
-                                        set_limit(context, limit);
-                                        const grpc::Status status =
-                                            to.stub().Relay(&context, request, &reply);
-                                        return end_of(status, reply.acting());
-                                    });
-    if (end != call_end::answered || link_.leader_term() != leader_term)
+    const call_result end = leader_client_.call(std::chrono::steady_clock::now() + relay_timeout,
+                                                [&](control_channel& to, duration limit)
+                                                {
+                                                    grpc::ClientContext context;
+                                                    set_timeout(context, limit);
+                                                    const grpc::Status status =
+                                                        to.stub().Relay(&context, request, &reply);
+                                                    return to_call_result(status, reply.acting());
+                                                });
+    if (end != call_result::answered || leader_client_.leader_term() != leader_term)
     {
-        return; // another leader: all is sent to it
+        return; // the leader has changed; everything is sent to the new one
     }
     std::vector<fleet::worker_life> unknown;
     for (int i = 0; i < reply.unknown_size(); ++i)
     {
-        const bool told = i < reply.unknown_born_ms_size(); // not by an older control VM
-        unknown.push_back({reply.unknown(i), told ? reply.unknown_born_ms(i) : 0});
+        const bool has_born_ms = i < reply.unknown_born_ms_size(); // absent from older control VMs
+        unknown.push_back({reply.unknown(i), has_born_ms ? reply.unknown_born_ms(i) : 0});
     }
     const std::lock_guard lock(registry_mutex_);
     registry_.note_relayed(leader_term, changed);
     registry_.note_unknown(unknown);
-    relayed_.notify_all();
+    relay_done_.notify_all();
 }
 
 void control_server::deliver(const std::vector<fleet::announcement>& changed)
@@ -275,7 +275,7 @@
     boost::asio::post(context_,
                       [this, now, changed]
                       {
-                          const metrics::measured_part hearing(metrics::loop_part::announcements);
+                          const metrics::measured_part measured(metrics::loop_part::announcements);
                           for (const fleet::announcement& one : changed)
                           {
                               dispatcher_.announced(now, one);
@@ -284,11 +284,11 @@
                       });
 }
 
-std::vector<fleet::worker_life> control_server::note_alive(const std::vector<fleet::worker_life>& lives)
+std::vector<fleet::worker_life> control_server::refresh_alive(const std::vector<fleet::worker_life>& lives)
 {
     const time_point now = std::chrono::steady_clock::now();
     std::vector<fleet::worker_life> unknown;
-    std::vector<fleet::announcement> heard;
+    std::vector<fleet::announcement> known;
     {
         const std::lock_guard lock(registry_mutex_);
         for (const fleet::worker_life& life : lives)
@@ -300,14 +300,14 @@
                 continue;
             }
             registry_.receive(now, *last);
-            heard.push_back(*last);
+            known.push_back(*last);
         }
     }
     boost::asio::post(context_,
-                      [this, now, heard = std::move(heard)]
+                      [this, now, known = std::move(known)]
                       {
-                          const metrics::measured_part hearing(metrics::loop_part::announcements);
-                          for (const fleet::announcement& one : heard)
+                          const metrics::measured_part measured(metrics::loop_part::announcements);
+                          for (const fleet::announcement& one : known)
                           {
                               if (!dispatcher_.refresh_liveness(now, one.life))
                               {
@@ -330,30 +330,30 @@
     to.push_back({name, metrics::label(key, value), count});
 }
 
-void add_server_lines(counter_lines& to, const control_counts& of)
+void add_server_lines(counter_lines& to, const control_counts& counts)
 {
-    to.push_back({"plumspoke_announcements_total", "", of.announcements});
-    to.push_back({"plumspoke_announcements_refused_total", "", of.announcements_refused});
-    to.push_back({"plumspoke_configurations_total", "", of.configurations});
-    to.push_back({"plumspoke_calls_invalid_total", "", of.calls_invalid});
-    to.push_back({"plumspoke_configurations_unanswered_total", "", of.configurations_unanswered});
-    to.push_back({"plumspoke_configuration_reads_refused_total", "", of.reads_refused});
-    to.push_back({"plumspoke_submits_total", "", of.submits});
-    to.push_back({"plumspoke_submits_refused_total", "", of.submits_refused});
-    to.push_back({"plumspoke_submits_refused_behind_total", "", of.submits_refused_behind});
-    to.push_back({"plumspoke_submits_undecided_total", "", of.submits_undecided});
-    to.push_back({"plumspoke_cancels_total", "", of.cancels});
-    to.push_back({"plumspoke_leader_changes_total", "", of.leader_changes});
-    to.push_back({"plumspoke_steps_without_lease_total", "", of.steps_without_lease});
-    to.push_back({"plumspoke_steps_given_way_total", "", of.steps_given_way});
+    to.push_back({"plumspoke_announcements_total", "", counts.announcements});
+    to.push_back({"plumspoke_announcements_refused_total", "", counts.announcements_refused});
+    to.push_back({"plumspoke_configurations_total", "", counts.configurations});
+    to.push_back({"plumspoke_calls_invalid_total", "", counts.calls_invalid});
+    to.push_back({"plumspoke_configurations_unanswered_total", "", counts.configurations_unanswered});
+    to.push_back({"plumspoke_configuration_reads_refused_total", "", counts.reads_refused});
+    to.push_back({"plumspoke_submits_total", "", counts.submits});
+    to.push_back({"plumspoke_submits_refused_total", "", counts.submits_refused});
+    to.push_back({"plumspoke_submits_refused_behind_total", "", counts.submits_refused_behind});
+    to.push_back({"plumspoke_submits_undecided_total", "", counts.submits_undecided});
+    to.push_back({"plumspoke_cancels_total", "", counts.cancels});
+    to.push_back({"plumspoke_leader_changes_total", "", counts.leader_changes});
+    to.push_back({"plumspoke_steps_without_lease_total", "", counts.steps_without_lease});
+    to.push_back({"plumspoke_steps_given_way_total", "", counts.steps_yielded});
 }
 
-void add_replica_lines(counter_lines& to, const replica::replica_status& of)
+void add_replica_lines(counter_lines& to, const replica::replica_status& status)
 {
-    to.push_back({"plumspoke_syncs_total", "", of.sync_count});
-    to.push_back({"plumspoke_commit_rounds_total", "", of.commit_rounds});
-    to.push_back({"plumspoke_term", "", of.term});
-    to.push_back({"plumspoke_leading", "", of.is_leader() ? 1U : 0U});
+    to.push_back({"plumspoke_syncs_total", "", status.sync_count});
+    to.push_back({"plumspoke_commit_rounds_total", "", status.commit_rounds});
+    to.push_back({"plumspoke_term", "", status.term});
+    to.push_back({"plumspoke_leading", "", status.is_leader() ? 1U : 0U});
 }
 
 void add_processor_lines(counter_lines& to, const metrics::thread_meter& loop, std::uint64_t replica_us)
@@ -376,69 +376,72 @@
     to.push_back({"plumspoke_process_cpu_microseconds_total", "", metrics::read_process_microseconds()});
 }
 
-void add_http_lines(counter_lines& to, const http::server& of)
+void add_http_lines(counter_lines& to, const http::server& server)
 {
-    to.push_back({"plumspoke_http_connections_total", "", of.connections()});
-    to.push_back({"plumspoke_http_open_connections", "", static_cast<std::uint64_t>(of.open_connections())});
-    to.push_back({"plumspoke_http_in_flight", "", static_cast<std::uint64_t>(of.in_flight())});
-    to.push_back({"plumspoke_http_threads", "", static_cast<std::uint64_t>(of.threads())});
+    to.push_back({"plumspoke_http_connections_total", "", server.connections()});
+    to.push_back(
+        {"plumspoke_http_open_connections", "", static_cast<std::uint64_t>(server.open_connections())});
+    to.push_back({"plumspoke_http_in_flight", "", static_cast<std::uint64_t>(server.in_flight())});
+    to.push_back({"plumspoke_http_threads", "", static_cast<std::uint64_t>(server.threads())});
 }
 
-void add_log_lines(counter_lines& to, const logging::dropped_lines& of)
+void add_log_lines(counter_lines& to, const logging::dropped_lines& dropped)
 {
-    add(to, "plumspoke_log_lines_dropped_total", "reason", "over_budget", of.over_budget);
-    add(to, "plumspoke_log_lines_dropped_total", "reason", "not_writable", of.not_writable);
+    add(to, "plumspoke_log_lines_dropped_total", "reason", "over_budget", dropped.over_budget);
+    add(to, "plumspoke_log_lines_dropped_total", "reason", "not_writable", dropped.not_writable);
 }
 
-void add_lapse_lines(counter_lines& to, const dispatch::lapse_counts& of)
+void add_lapse_lines(counter_lines& to, const dispatch::lapse_counts& counts)
 {
-    for (std::size_t by = 0; by < dispatch::lapse_detector_count; ++by)
+    for (std::size_t finder_index = 0; finder_index < dispatch::lapse_detector_count; ++finder_index)
     {
         const std::string finder =
-            metrics::label("found_by", to_string(static_cast<dispatch::lapse_detector>(by)));
-        for (std::size_t why = 0; why < dispatch::lapse_cause_count; ++why)
+            metrics::label("found_by", to_string(static_cast<dispatch::lapse_detector>(finder_index)));
+        for (std::size_t cause_index = 0; cause_index < dispatch::lapse_cause_count; ++cause_index)
         {
             const std::string cause =
-                metrics::label("cause", to_string(static_cast<dispatch::lapse_cause>(why)));
-            to.push_back({"plumspoke_runs_lapsed_total", finder + "," + cause, of.at(by).at(why)});
+                metrics::label("cause", to_string(static_cast<dispatch::lapse_cause>(cause_index)));
+            to.push_back({"plumspoke_runs_lapsed_total",
+                          finder + "," + cause,
+                          counts.at(finder_index).at(cause_index)});
         }
     }
 }
 
-void add_dispatch_lines(counter_lines& to, const dispatch::dispatch_counts& of)
+void add_dispatch_lines(counter_lines& to, const dispatch::dispatch_counts& counts)
 {
-    add(to, "plumspoke_orders_total", "kind", "start", of.starts_ordered);
-    add(to, "plumspoke_orders_total", "kind", "stop", of.stops_ordered);
-    add(to, "plumspoke_orders_total", "kind", "pace", of.paces_ordered);
-    add(to, "plumspoke_orders_total", "kind", "hold", of.polls);
-    add(to, "plumspoke_orders_failed_total", "reason", "hold_unanswered", of.polls_unanswered);
-    add(to, "plumspoke_orders_failed_total", "reason", "start_unanswered", of.starts_unanswered);
-    add(to, "plumspoke_orders_failed_total", "reason", "start_no_room", of.starts_rejected_no_room);
-    add(to, "plumspoke_orders_failed_total", "reason", "start_rejected", of.starts_rejected_other);
-    add(to, "plumspoke_run_ends_total", "how", "done", of.ends_done);
-    add(to, "plumspoke_run_ends_total", "how", "failed", of.ends_failed);
-    add(to, "plumspoke_run_ends_total", "how", "stopped", of.ends_stopped);
-    add(to, "plumspoke_run_ends_total", "how", "lapsed", of.ends_lapsed);
-    add(to, "plumspoke_run_ends_total", "how", "lost", of.ends_lost);
-    add(to, "plumspoke_run_ends_total", "how", "crashed", of.ends_crashed);
-    add(to, "plumspoke_run_ends_total", "how", "not_begun", of.ends_not_begun);
-    add(to, "plumspoke_runs_moved_total", "reason", "standstill", of.moved_stalled);
-    add(to, "plumspoke_runs_moved_total", "reason", "straggler", of.moved_straggler);
-    add(to, "plumspoke_runs_moved_total", "reason", "drain", of.moved_drain);
-    add(to, "plumspoke_runs_moved_total", "reason", "pace", of.moved_pace);
-    add_lapse_lines(to, of.runs_lapsed);
-    to.push_back({"plumspoke_workers_crashed_total", "", of.workers_crashed});
-    to.push_back({"plumspoke_tasks_given_up_total", "", of.tasks_given_up});
-    to.push_back({"plumspoke_copies_total", "", of.copies});
-    to.push_back({"plumspoke_workers_set_aside_total", "", of.workers_set_aside});
+    add(to, "plumspoke_orders_total", "kind", "start", counts.starts_ordered);
+    add(to, "plumspoke_orders_total", "kind", "stop", counts.stops_ordered);
+    add(to, "plumspoke_orders_total", "kind", "pace", counts.paces_ordered);
+    add(to, "plumspoke_orders_total", "kind", "hold", counts.polls);
+    add(to, "plumspoke_orders_failed_total", "reason", "hold_unanswered", counts.polls_unanswered);
+    add(to, "plumspoke_orders_failed_total", "reason", "start_unanswered", counts.starts_unanswered);
+    add(to, "plumspoke_orders_failed_total", "reason", "start_no_room", counts.starts_rejected_no_room);
+    add(to, "plumspoke_orders_failed_total", "reason", "start_rejected", counts.starts_rejected_other);
+    add(to, "plumspoke_run_ends_total", "how", "done", counts.ends_done);
+    add(to, "plumspoke_run_ends_total", "how", "failed", counts.ends_failed);
+    add(to, "plumspoke_run_ends_total", "how", "stopped", counts.ends_stopped);
+    add(to, "plumspoke_run_ends_total", "how", "lapsed", counts.ends_lapsed);
+    add(to, "plumspoke_run_ends_total", "how", "lost", counts.ends_lost);
+    add(to, "plumspoke_run_ends_total", "how", "crashed", counts.ends_crashed);
+    add(to, "plumspoke_run_ends_total", "how", "not_begun", counts.ends_not_begun);
+    add(to, "plumspoke_runs_moved_total", "reason", "standstill", counts.moved_stalled);
+    add(to, "plumspoke_runs_moved_total", "reason", "straggler", counts.moved_straggler);
+    add(to, "plumspoke_runs_moved_total", "reason", "drain", counts.moved_drain);
+    add(to, "plumspoke_runs_moved_total", "reason", "pace", counts.moved_pace);
+    add_lapse_lines(to, counts.runs_lapsed);
+    to.push_back({"plumspoke_workers_crashed_total", "", counts.workers_crashed});
+    to.push_back({"plumspoke_tasks_given_up_total", "", counts.tasks_given_up});
+    to.push_back({"plumspoke_copies_total", "", counts.copies});
+    to.push_back({"plumspoke_workers_set_aside_total", "", counts.workers_set_aside});
 }
 
-void add_unconfirmed_lines(counter_lines& to, const dispatch::unconfirmed_runs& of)
+void add_unconfirmed_lines(counter_lines& to, const dispatch::unconfirmed_runs& runs)
 {
-    add(to, "plumspoke_unconfirmed_runs", "begun", "here", of.own);
-    add(to, "plumspoke_unconfirmed_runs", "begun", "before", of.inherited);
-    to.push_back({"plumspoke_unconfirmed_jobs", "", of.jobs});
-    const auto oldest_ms = std::chrono::duration_cast<milliseconds>(of.oldest).count();
+    add(to, "plumspoke_unconfirmed_runs", "begun", "here", runs.own);
+    add(to, "plumspoke_unconfirmed_runs", "begun", "before", runs.inherited);
+    to.push_back({"plumspoke_unconfirmed_jobs", "", runs.jobs});
+    const auto oldest_ms = std::chrono::duration_cast<milliseconds>(runs.oldest).count();
     to.push_back({"plumspoke_unconfirmed_oldest_milliseconds", "", static_cast<std::uint64_t>(oldest_ms)});
 }
 
@@ -452,14 +455,14 @@
 
 } // namespace
 
-http::response control_server::answer_metrics() const
+http::response control_server::metrics_response() const
 {
     counter_lines lines;
     add_server_lines(lines, counts_);
     const replica::replica_status status = driver_->status();
     add_replica_lines(lines, status);
     add_processor_lines(lines, meter_, status.cpu_time_us);
-    add_silent_lines(lines);
+    add_timeout_lines(lines);
     add_connection_lines(lines);
     add_http_lines(lines, *http_);
     add_log_lines(lines, logging::read_dropped());
@@ -471,7 +474,7 @@
         lines.push_back({"plumspoke_known_workers", "", known_workers_});
         add_unconfirmed_lines(lines, unconfirmed_);
     }
-    machine_.read(
+    state_machine_.read(
         [&lines](const jobs::store& state)
         {
             add_waiting_lines(lines, state);
@@ -488,19 +491,19 @@
     return out;
 }
 
-void control_server::add_silent_lines(std::vector<metrics::counter_line>& to) const
+void control_server::add_timeout_lines(std::vector<metrics::counter_line>& to) const
 {
     constexpr const char* name = "plumspoke_silent_calls_total";
-    add(to, name, "kind", "worker_poll", caller_->silent().polls);
-    add(to, name, "kind", "worker_order", caller_->silent().orders);
+    add(to, name, "kind", "worker_poll", worker_client_->timed_out().polls);
+    add(to, name, "kind", "worker_order", worker_client_->timed_out().orders);
     add(to, name, "kind", "replica", transport_->timed_out_calls());
-    add(to, name, "kind", "leader_link", link_.silent_calls());
+    add(to, name, "kind", "leader_link", leader_client_.timed_out_calls());
 }
 
 void control_server::add_connection_lines(std::vector<metrics::counter_line>& to) const
 {
-    to.push_back({"plumspoke_worker_connections", "", caller_->connections()});
-    to.push_back({"plumspoke_calls_without_connection_total", "", caller_->without_connection()});
+    to.push_back({"plumspoke_worker_connections", "", worker_client_->connections()});
+    to.push_back({"plumspoke_calls_without_connection_total", "", worker_client_->without_connection()});
     to.push_back({"plumspoke_failed_accepts_total", "", failed_accepts()});
 }
 
--- a/src/job_server/control_loop.cpp
+++ b/src/job_server/control_loop.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The leader's loop: one thread that feeds the dispatcher and carries out what it decides.
+/// @brief The leader's loop: one thread that feeds the dispatcher and executes its decisions.
 
 #include "plumspoke/job_server/control_server.hpp"
 #include "plumspoke/jobs/codec.hpp"
@@ -16,21 +16,21 @@
 {
 
 constexpr const char* part = "control";
-constexpr auto leading_interval = milliseconds(25);    // what changes with time alone: retries, lapses
-constexpr auto following_interval = milliseconds(100); // only to notice leadership
+constexpr auto leading_interval = milliseconds(25);    // for timers: retries, lease expiry
+constexpr auto following_interval = milliseconds(100); // only to detect gaining leadership
 constexpr auto expire_interval = seconds(5);
-constexpr auto window_length = seconds(1); // of the loop's log line: a lease is lost within a few of them
-// After so much work without a pause the loop's thread rests, and the threads of peers and callers have their
-// turn: a fifth of the time, about what they use beside a busy loop.
-constexpr auto longest_stretch = milliseconds(8);
-constexpr auto stretch_rest = milliseconds(2);
+constexpr auto window_length = seconds(1); // of the loop's log line; a lease is lost within a few windows
+// After this much uninterrupted work the loop's thread sleeps, so that the threads serving peers and callers
+// get processor time: a fifth of the total, about what they need beside a busy loop.
+constexpr auto max_busy_period = milliseconds(8);
+constexpr auto rest_period = milliseconds(2);
 
 using metrics::loop_part;
 using metrics::measured_part;
 
-std::int64_t microseconds_since(time_point begun)
+std::int64_t microseconds_since(time_point started_at)
 {
-    return std::chrono::duration_cast<duration>(std::chrono::steady_clock::now() - begun).count();
+    return std::chrono::duration_cast<duration>(std::chrono::steady_clock::now() - started_at).count();
 }
 
 std::int64_t to_ms(std::int64_t microseconds) noexcept
@@ -38,19 +38,18 @@
     return std::chrono::duration_cast<milliseconds>(duration(microseconds)).count();
 }
 
-/// @brief Adds the lapsed runs of this process so far, by who found them and by cause; causes without any are
-/// left
-///        out.
-void add_lapses(logging::event& to, const dispatch::lapse_counts& of)
+/// @brief Adds this process's counts of runs whose lease expired, by finder and cause; zero counts are
+///        omitted.
+void add_lapses(logging::event& to, const dispatch::lapse_counts& counts)
 {
-    for (std::size_t by = 0; by < dispatch::lapse_detector_count; ++by)
+    for (std::size_t finder_index = 0; finder_index < dispatch::lapse_detector_count; ++finder_index)
     {
-        const std::string finder(to_string(static_cast<dispatch::lapse_detector>(by)));
-        for (std::size_t why = 0; why < dispatch::lapse_cause_count; ++why)
+        const std::string finder(to_string(static_cast<dispatch::lapse_detector>(finder_index)));
+        for (std::size_t cause_index = 0; cause_index < dispatch::lapse_cause_count; ++cause_index)
         {
-            if (const std::uint64_t count = of.at(by).at(why); count > 0)
+            if (const std::uint64_t count = counts.at(finder_index).at(cause_index); count > 0)
             {
-                const std::string cause(to_string(static_cast<dispatch::lapse_cause>(why)));
+                const std::string cause(to_string(static_cast<dispatch::lapse_cause>(cause_index)));
                 to.with("lapsed_" + finder + "_" + cause, static_cast<std::int64_t>(count));
             }
         }
@@ -64,23 +63,23 @@
     const auto work = boost::asio::make_work_guard(context_);
     meter_.start();
     arm_timer();
-    while (context_.run_one() > 0) // waits where there is nothing to do
+    while (context_.run_one() > 0) // blocks while there is nothing to do
     {
-        work_a_stretch();
+        run_ready_handlers();
     }
 }
 
-// A heartbeat passes through several threads of the process on its way and back, and each would wait behind a
-// loop that never rests, until the leader's lease is over. A VM that has used up its share of a processor
-// loses nothing by a rest.
-void control_server::work_a_stretch()
+// A heartbeat and its answer pass through several threads of this process. Each would wait behind a loop that
+// never sleeps, until the leader's lease expires. A VM that has exhausted its processor quota loses nothing
+// by the sleep.
+void control_server::run_ready_handlers()
 {
-    const time_point rest_at = std::chrono::steady_clock::now() + longest_stretch;
+    const time_point rest_at = std::chrono::steady_clock::now() + max_busy_period;
     while (context_.poll_one() > 0)
     {
         if (std::chrono::steady_clock::now() >= rest_at)
         {
-            std::this_thread::sleep_for(stretch_rest);
+            std::this_thread::sleep_for(rest_period);
             return;
         }
     }
@@ -94,7 +93,7 @@
         {
             if (!cancelled)
             {
-                note_late(timer_.expiry());
+                record_lateness(timer_.expiry());
                 schedule_step();
                 arm_timer();
             }
@@ -108,33 +107,33 @@
         boost::asio::post(context_,
                           [this, wanted_at = std::chrono::steady_clock::now()]
                           {
-                              step_when_due(wanted_at);
+                              step_or_wait(wanted_at);
                           });
     }
 }
 
-void control_server::step_when_due(time_point wanted_at)
+void control_server::step_or_wait(time_point wanted_at)
 {
     const time_point due_at = std::max(wanted_at, decision_limiter_.next_at());
     if (std::chrono::steady_clock::now() >= due_at)
     {
-        note_late(due_at);
+        record_lateness(due_at);
         step();
         return;
     }
-    rest_timer_.expires_at(due_at);
-    rest_timer_.async_wait(
+    pacing_timer_.expires_at(due_at);
+    pacing_timer_.async_wait(
         [this, due_at](boost::system::error_code cancelled)
         {
             if (!cancelled)
             {
-                note_late(due_at);
+                record_lateness(due_at);
                 step();
             }
         });
 }
 
-void control_server::note_late(time_point wanted_at)
+void control_server::record_lateness(time_point wanted_at)
 {
     const std::int64_t late_us = microseconds_since(wanted_at);
     loop_late_.record(late_us);
@@ -145,11 +144,11 @@
 void control_server::step()
 {
     step_scheduled_ = false;
-    // The clock is read before leadership is looked at: an order's lease counts from this reading.
+    // Read the clock before checking leadership: the leases of orders are counted from this time.
     const time_point now = std::chrono::steady_clock::now();
     const measured_part following(loop_part::follow);
     const replica::replica_status status = driver_->status();
-    follow_leadership(now, status);
+    update_leadership(now, status);
     if (!dispatcher_.leading())
     {
         return;
@@ -164,20 +163,20 @@
     }
     if (decision_limiter_.should_defer(now, std::chrono::duration_cast<duration>(status.lease_end - now)))
     {
-        ++counts_.steps_given_way;
-        return; // the timer leads to the next step
+        ++counts_.steps_yielded;
+        return; // the timer triggers the next step
     }
     dispatch::dispatch_output decided = decide(now);
-    carry_out(decided);
-    refuses_jobs_ = dispatcher_.refuses_jobs(now);
+    execute(decided);
+    rejects_submits_ = dispatcher_.refuses_jobs(now);
     decision_limiter_.record(now, std::chrono::steady_clock::now());
 }
 
 dispatch::dispatch_output control_server::decide(time_point now)
 {
     const measured_part deciding(loop_part::decide);
-    const time_point begun = std::chrono::steady_clock::now();
-    dispatch::dispatch_output decided = machine_.read(
+    const time_point started_at = std::chrono::steady_clock::now();
+    dispatch::dispatch_output decided = state_machine_.read(
         [this, now](const jobs::store& state)
         {
             dispatch::dispatch_output out = dispatcher_.decide(now, time_of_day_ms(), state);
@@ -188,7 +187,7 @@
             known_workers_ = dispatcher_.workers().size();
             return out;
         });
-    const std::int64_t took_us = microseconds_since(begun);
+    const std::int64_t took_us = microseconds_since(started_at);
     dispatcher_.on_decided(duration(took_us));
     decide_times_.record(took_us);
     window_.decide_us = std::max(window_.decide_us, took_us);
@@ -197,7 +196,7 @@
 
 void control_server::report_window(time_point now, const replica::replica_status& status)
 {
-    if (now < window_.begun + window_length)
+    if (now < window_.started_at + window_length)
     {
         return;
     }
@@ -208,12 +207,12 @@
         const std::lock_guard lock(counts_mutex_);
         unconfirmed_ = open;
     }
-    if (window_.begun != time_point{})
+    if (window_.started_at != time_point{})
     {
-        write_window(now, totals, open);
+        log_window(now, totals, open);
     }
     window_ = {};
-    window_.begun = now;
+    window_.started_at = now;
     window_.before = totals;
 }
 
@@ -228,23 +227,23 @@
     out.replica_us = status.cpu_time_us;
     out.answers = meter_.passes(loop_part::answers);
     out.announcements = counts_.announcements;
-    out.silent_polls = caller_->silent().polls;
-    out.silent_orders = caller_->silent().orders;
-    out.silent_replicas = transport_->timed_out_calls();
+    out.timed_out_polls = worker_client_->timed_out().polls;
+    out.timed_out_orders = worker_client_->timed_out().orders;
+    out.timed_out_replicas = transport_->timed_out_calls();
     return out;
 }
 
-void control_server::write_window(time_point now,
-                                  const loop_totals& totals,
-                                  const dispatch::unconfirmed_runs& open) const
+void control_server::log_window(time_point now,
+                                const loop_totals& totals,
+                                const dispatch::unconfirmed_runs& open) const
 {
     const auto since = [](std::uint64_t later, std::uint64_t earlier)
     {
         return static_cast<std::int64_t>(later - earlier);
     };
-    logging::event line(part, "loop", "What the leader's loop did in this window.");
+    logging::event line(part, "loop", "Statistics of the leader's loop in this window.");
     line.with("term", static_cast<std::int64_t>(dispatcher_.term()))
-        .with("window_ms", std::chrono::duration_cast<milliseconds>(now - window_.begun).count())
+        .with("window_ms", std::chrono::duration_cast<milliseconds>(now - window_.started_at).count())
         .with("steps", window_.steps)
         .with("without_lease", window_.without_lease)
         .with("late_ms", to_ms(window_.late_us))
@@ -261,9 +260,9 @@
     line.with("loop_cpu_ms", to_ms(thread_us))
         .with("answers", since(totals.answers, window_.before.answers))
         .with("announcements", since(totals.announcements, window_.before.announcements))
-        .with("silent_polls", since(totals.silent_polls, window_.before.silent_polls))
-        .with("silent_orders", since(totals.silent_orders, window_.before.silent_orders))
-        .with("silent_replica_calls", since(totals.silent_replicas, window_.before.silent_replicas))
+        .with("silent_polls", since(totals.timed_out_polls, window_.before.timed_out_polls))
+        .with("silent_orders", since(totals.timed_out_orders, window_.before.timed_out_orders))
+        .with("silent_replica_calls", since(totals.timed_out_replicas, window_.before.timed_out_replicas))
         .with("http_connections", http_->open_connections())
         .with("open_runs", static_cast<std::int64_t>(dispatcher_.runs().size()))
         .with("unconfirmed_own", static_cast<std::int64_t>(open.own))
@@ -277,7 +276,7 @@
 
 std::int64_t control_server::count_waiting() const
 {
-    return machine_.read(
+    return state_machine_.read(
         [](const jobs::store& state)
         {
             return static_cast<std::int64_t>(std::count_if(state.live().begin(),
@@ -289,7 +288,7 @@
         });
 }
 
-void control_server::follow_leadership(time_point now, const replica::replica_status& status)
+void control_server::update_leadership(time_point now, const replica::replica_status& status)
 {
     const bool same_term = dispatcher_.leading() && status.is_leader() && status.term == dispatcher_.term();
     if (same_term)
@@ -298,10 +297,10 @@
     }
     if (dispatcher_.leading())
     {
-        write_retired(now, status);
+        log_leadership_end(now, status);
         dispatcher_.step_down();
-        refuses_jobs_ = false;
-        caller_->reset();
+        rejects_submits_ = false;
+        worker_client_->reset();
     }
     if (!status.holds_lease(now))
     {
@@ -310,13 +309,13 @@
     ++counts_.leader_changes;
     window_ = {};
     const measured_part taking_over(loop_part::take_over);
-    const time_point begun = std::chrono::steady_clock::now();
-    machine_.read(
+    const time_point started_at = std::chrono::steady_clock::now();
+    state_machine_.read(
         [&](const jobs::store& state)
         {
             dispatcher_.lead(now, status.term, state);
         });
-    take_over_times_.record(microseconds_since(begun));
+    take_over_times_.record(microseconds_since(started_at));
     const std::lock_guard lock(registry_mutex_);
     for (const fleet::announcement& one : registry_.all())
     {
@@ -326,10 +325,10 @@
     arm_timer();
 }
 
-void control_server::write_retired(time_point now, const replica::replica_status& status) const
+void control_server::log_leadership_end(time_point now, const replica::replica_status& status) const
 {
     const replica::leadership_record& last = status.last_leadership;
-    logging::event line(part, "retired", "Leads no more.");
+    logging::event line(part, "retired", "This process no longer leads.");
     line.with("term", static_cast<std::int64_t>(dispatcher_.term())).with("new_leader", status.leader_name);
     if (last.term == dispatcher_.term())
     {
@@ -347,10 +346,10 @@
     logging::write(line);
 }
 
-void control_server::carry_out(dispatch::dispatch_output& decided)
+void control_server::execute(dispatch::dispatch_output& decided)
 {
     const measured_part carrying_out(loop_part::carry_out);
-    const time_point begun = std::chrono::steady_clock::now();
+    const time_point started_at = std::chrono::steady_clock::now();
     {
         const measured_part writing(loop_part::log);
         for (const logging::event& one : decided.events)
@@ -366,17 +365,17 @@
     {
         cancel_times_.record(std::chrono::duration_cast<duration>(milliseconds(took_ms)).count());
     }
-    for (dispatch::order& what : decided.orders)
+    for (dispatch::order& order : decided.orders)
     {
-        caller_->send(std::move(what));
+        worker_client_->send(std::move(order));
     }
     const time_point now = std::chrono::steady_clock::now();
     if (now >= next_expiry_)
     {
         next_expiry_ = now + expire_interval;
-        caller_->expire(now);
+        worker_client_->expire(now);
     }
-    carry_out_times_.record(microseconds_since(begun));
+    carry_out_times_.record(microseconds_since(started_at));
 }
 
 void control_server::propose(const dispatch::planned_round& planned)
@@ -391,7 +390,7 @@
                              {
                                  if (dispatcher_.term() != term)
                                  {
-                                     return; // of an earlier reign
+                                     return; // proposed in an earlier term
                                  }
                                  std::optional<std::vector<bool>> accepted;
                                  if (!result.error)
--- a/src/job_server/listener_watch.cpp
+++ b/src/job_server/grpc_log.cpp
@@ -1,4 +1,4 @@
-#include "listener_watch.hpp"
+#include "grpc_log.hpp"
 
 #include "plumspoke/logging/event.hpp"
 
@@ -14,14 +14,14 @@
 
 std::atomic<std::uint64_t> failed_accept_count{0};
 
-void take_line(gpr_log_func_args* line)
+void handle_log_line(gpr_log_func_args* line)
 {
     const std::string_view message = line->message;
     if (message.find("Failed accept") != std::string_view::npos)
     {
         ++failed_accept_count;
     }
-    logging::write(logging::event("grpc", "library_error", "The gRPC library reports an error.")
+    logging::write(logging::event("grpc", "library_error", "gRPC reported an error.")
                        .with("file", line->file)
                        .with("line", line->line)
                        .with("text", message));
@@ -29,9 +29,9 @@
 
 } // namespace
 
-void watch_grpc_log()
+void install_grpc_log_handler()
 {
-    gpr_set_log_function(&take_line);
+    gpr_set_log_function(&handle_log_line);
 }
 
 std::uint64_t failed_accepts() noexcept
--- a/tests/src/unit-replica_busy_state.cpp
+++ b/tests/src/unit-replica_busy_state.cpp
@@ -9,7 +9,7 @@
 /// 800 ms, and in 0 of 5 for 500 or 620 ms.
 
 #include "plumspoke/jobs/codec.hpp"
-#include "plumspoke/jobs/machine.hpp"
+#include "plumspoke/jobs/job_state_machine.hpp"
 #include "plumspoke/replica/driver.hpp"
 
 #include <array>
@@ -77,7 +77,7 @@
 struct test_replica
 {
     std::string name;
-    jobs::machine machine;
+    jobs::job_state_machine machine;
     std::unique_ptr<storage> disk;
     std::unique_ptr<local_transport> sender;
     std::unique_ptr<driver> runner;
