--- a/include/plumspoke/endpoint/connection.hpp
+++ b/include/plumspoke/endpoint/connection.hpp
@@ -52,7 +52,7 @@
     exchange(std::string_view request, time_point deadline, std::size_t max_answer);
 
     /// @brief Whether an idle connection is still open and silent.
-    [[nodiscard]] bool idle_and_open() const noexcept;
+    [[nodiscard]] bool is_idle_and_open() const noexcept;
 
     [[nodiscard]] time_point idle_since() const noexcept
     {
@@ -68,7 +68,7 @@
     write_all(std::string_view request, time_point deadline, progress& reached) const;
 
     int socket_ = -1;
-    bool outstanding_ = false; // a request was sent whose whole answer has not come
+    bool answer_pending_ = false; // a request was sent whose whole answer has not come
     time_point idle_since_{};
 };
 
--- a/include/plumspoke/endpoint/guard.hpp
+++ b/include/plumspoke/endpoint/guard.hpp
@@ -13,7 +13,7 @@
 {
     int failures = 5;                       // in a row
     duration open_for = milliseconds(1000); // at first; doubles with each failed trial
-    int longest_doubling = 5;               // up to 2^5 times the first
+    int max_doublings = 5;                  // up to 2^5 times the first
 };
 
 /// @brief Closed: all pass. Open: none pass until the time is over. Then one trial decides.
@@ -49,7 +49,7 @@
     {
         return state_;
     }
-    [[nodiscard]] bool is_out(time_point now) const noexcept
+    [[nodiscard]] bool is_excluded(time_point now) const noexcept
     {
         return state_ != state::closed && !permits(now);
     }
@@ -59,7 +59,7 @@
 
     guard_options options_;
     state state_ = state::closed;
-    int failures_in_row_ = 0;
+    int consecutive_failures_ = 0;
     int openings_ = 0;
     time_point open_until_{};
     time_point trial_since_{};
--- a/include/plumspoke/entry/control_client.hpp
+++ b/include/plumspoke/entry/control_client.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief An entry's calls to control: reports, claims, outcomes. Finds the leader by itself.
+/// @brief gRPC client of an entry for control: reports, claims and outcomes. Locates the leader itself.
 
 #include "plumspoke/control/slot_allocator.hpp"
 #include "plumspoke/settings/process_settings.hpp"
@@ -12,26 +12,26 @@
 namespace plumspoke::entry
 {
 
-/// @brief What control answered to a report.
+/// @brief Reply of control to a report.
 struct report_reply
 {
     std::uint64_t version = 0;
-    std::string configuration; // JSON, empty where nothing is new
+    std::string configuration; // JSON; empty if unchanged
     duration lease{};
     std::vector<control::slot_share> granted;
 };
 
-/// @brief An unsafe request under its key.
+/// @brief Claim of an idempotency key for an unsafe request.
 struct claim_request
 {
     std::string service;
     std::string key;
     std::string digest;
-    std::string asker; // names this very request
+    std::string requester; // identifies this request
     duration deadline{};
 };
 
-/// @brief How its claim stands.
+/// @brief State of a claim, and the recorded answer if the request is done.
 struct claim_reply
 {
     control::claim_state state = control::claim_state::refused;
@@ -41,7 +41,7 @@
     std::string body;
 };
 
-/// @brief What is recorded under a claim.
+/// @brief Outcome to record for a claim.
 struct claim_outcome
 {
     std::string service;
@@ -53,7 +53,7 @@
     std::string body;
 };
 
-/// @brief Speaks gRPC to whichever control process leads. Safe to use from several threads.
+/// @brief Sends requests to the leading control process. Thread-safe.
 class control_client
 {
   public:
@@ -62,14 +62,17 @@
     control_client& operator=(const control_client&) = delete;
     ~control_client();
 
-    /// @brief One report; asks each peer once at the most.
-    /// @return nothing where no leader answered in time
+    /// @brief Sends one report to the peer believed to lead; on failure, the next call uses another peer.
+    /// @return nothing if no leader answered within `limit`
     [[nodiscard]] std::optional<report_reply> report(const control::entry_report& sent, duration limit);
 
-    /// @brief Claims a key; repeats until the deadline, which is safe because the asker is named.
+    /// @brief Claims a key. Retries until the deadline, which is safe because `requester` identifies the
+    /// request.
+    /// @return nothing if no leader answered by the deadline
     [[nodiscard]] std::optional<claim_reply> claim(const claim_request& asked, time_point deadline);
 
-    /// @brief Records an outcome; repeats until the deadline.
+    /// @brief Records an outcome; retries until the deadline.
+    /// @return whether control recorded it
     bool record(const claim_outcome& ended, time_point deadline);
 
   private:
--- a/include/plumspoke/entry/endpoint_state.hpp
+++ b/include/plumspoke/entry/endpoint_state.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief What an entry knows of one endpoint over the life of the process.
+/// @brief State of one endpoint in an entry, kept across configuration versions.
 
 #include "plumspoke/endpoint/connection.hpp"
 #include "plumspoke/endpoint/guard.hpp"
@@ -13,8 +13,8 @@
 namespace plumspoke::entry
 {
 
-/// @brief An endpoint: its guard, its expected latency, its idle connections.
-/// @note Its mutex is never held over I/O.
+/// @brief An endpoint with its guard, smoothed latency and idle connections.
+/// @note The mutex is never held during blocking I/O.
 class endpoint_state : public boost::intrusive_ref_counter<endpoint_state>
 {
   public:
@@ -40,33 +40,34 @@
     {
         return *slots_;
     }
-    /// @brief Whether the platform's list or the endpoint itself says that it is leaving.
+    /// @brief Whether the platform's list or the endpoint itself reports that it is leaving.
     [[nodiscard]] bool leaving(time_point now) const noexcept
     {
         return listed_leaving_.load(std::memory_order_acquire) ||
-               to_microseconds(now) < said_leaving_until_us_.load(std::memory_order_acquire);
+               to_microseconds(now) < self_reported_leaving_until_us_.load(std::memory_order_acquire);
     }
-    /// @brief Since when it has been known to be leaving.
+    /// @brief When the endpoint was first known to be leaving.
     [[nodiscard]] time_point leaving_since() const noexcept
     {
         return from_microseconds(leaving_since_us_.load(std::memory_order_acquire));
     }
-    /// @brief Smoothed time of an answer, in microseconds; 0 before the first.
+    /// @brief Smoothed answer time in microseconds; 0 before the first answer.
     [[nodiscard]] std::int64_t expected_us() const noexcept
     {
         return expected_us_.load(std::memory_order_relaxed);
     }
     [[nodiscard]] bool permits(time_point now) const;
-    [[nodiscard]] bool is_out(time_point now) const;
+    [[nodiscard]] bool is_excluded(time_point now) const;
     /// @}
 
     /// @name events
     /// @{
-    /// @brief The platform's list has spoken.
+    /// @brief Sets whether the platform's list reports the endpoint as leaving.
     void set_listed_leaving(time_point now, bool leaving) noexcept;
 
-    /// @brief The endpoint's own answer has spoken; believed until `until`, since only a list takes it back.
-    void note_said_leaving(time_point now, time_point until) noexcept;
+    /// @brief Records that the endpoint's answer reported it as leaving; valid until `until`, since no later
+    ///        answer revokes it.
+    void note_self_reported_leaving(time_point now, time_point until) noexcept;
 
     void note_sent(time_point now);
     void note_success(duration took);
@@ -77,13 +78,14 @@
     /// @name connections
     /// @{
 
-    /// @brief An idle connection that is still open and not too old, or nothing.
+    /// @brief Takes an idle connection that is still open and idle for less than `longest_idle`; null if
+    /// none.
     [[nodiscard]] std::unique_ptr<endpoint::connection> take_idle(time_point now, duration longest_idle);
 
-    /// @brief Keeps a connection for the next request, within the worker's connections.
+    /// @brief Keeps a connection for reuse, within the worker's connection limit; otherwise closes it.
     void keep_idle(std::unique_ptr<endpoint::connection> kept, time_point now);
 
-    /// @brief Closes idle connections that a lower grant leaves no room for.
+    /// @brief Closes the idle connections that exceed the limit after the grant was lowered.
     void trim_idle();
     /// @}
 
@@ -96,10 +98,10 @@
     std::string availability_zone_;
     boost::intrusive_ptr<worker_slots> slots_;
     std::atomic<bool> listed_leaving_{false};
-    std::atomic<std::int64_t> said_leaving_until_us_{0};
+    std::atomic<std::int64_t> self_reported_leaving_until_us_{0};
     std::atomic<std::int64_t> leaving_since_us_{0};
     std::atomic<std::int64_t> expected_us_{0};
-    std::atomic<bool> guard_closed_{true}; // so that the usual case takes no lock
+    std::atomic<bool> guard_closed_{true}; // lets the common case avoid the lock
     mutable std::mutex mutex_;
     endpoint::guard guard_;
     idle_list idle_;
--- a/include/plumspoke/entry/request_flow.hpp
+++ b/include/plumspoke/entry/request_flow.hpp
@@ -1,7 +1,8 @@
 #pragma once
 
 /// @file
-/// @brief What to do after an attempt: send again, pass the answer on, or give up, and what may be said.
+/// @brief Decides after each attempt whether to retry, forward the answer or abandon the request, and which
+/// outcome to report.
 
 #include "plumspoke/endpoint/connection.hpp"
 #include "plumspoke/entry/reason.hpp"
@@ -12,36 +13,36 @@
 namespace plumspoke::entry
 {
 
-/// @brief How one attempt ended, as far as the decision needs to know.
-struct attempt_end
+/// @brief Result of one attempt, as input for the retry decision.
+struct attempt_result
 {
     endpoint::progress reached = endpoint::progress::nothing_sent;
     std::error_code error;
     int status = 0;
-    bool endpoint_refused = false; // its own word that the request did not run
+    bool endpoint_refused = false; // the endpoint stated that the request did not run
 };
 
-struct send_again
+struct retry_attempt
 {
     retry_reason reason = retry_reason::connect_refused;
 };
 
-/// @brief The endpoint's answer goes to the caller.
-struct pass_on
+/// @brief Forward the endpoint's answer to the caller.
+struct forward_answer
 {
-    outcome told = outcome::done;
+    outcome reported = outcome::done;
 };
 
-/// @brief No answer of an endpoint is to be had.
-struct give_up
+/// @brief Stop without an answer from an endpoint.
+struct abandon_request
 {
-    outcome told = outcome::not_run;
+    outcome reported = outcome::not_run;
     refusal reason = refusal::deadline_passed;
 };
 
-using verdict = std::variant<send_again, pass_on, give_up>;
+using retry_decision = std::variant<retry_attempt, forward_answer, abandon_request>;
 
-/// @brief The life of one request over its attempts.
+/// @brief Tracks the attempts of one request and decides on retries.
 class request_flow
 {
   public:
@@ -50,14 +51,14 @@
     {
     }
 
-    /// @brief An attempt begins; checks that an unsafe request is not sent twice.
+    /// @brief Counts an attempt; checks that an unsafe request which may have run is not sent again.
     void begin_attempt();
 
-    /// @brief Decides what follows an attempt.
-    [[nodiscard]] verdict after(time_point now, const attempt_end& end, retry_budget& budget);
+    /// @brief Decides what follows an attempt; a retry is charged to `budget`.
+    [[nodiscard]] retry_decision decide(time_point now, const attempt_result& end, retry_budget& budget);
 
-    /// @brief What may be said if nothing more is tried.
-    [[nodiscard]] outcome told_if_given_up() const noexcept
+    /// @brief Outcome to report if no further attempt is made.
+    [[nodiscard]] outcome outcome_if_abandoned() const noexcept
     {
         return may_have_run_ ? outcome::unknown : outcome::not_run;
     }
@@ -79,7 +80,7 @@
     bool may_have_run_ = false;
 };
 
-/// @brief Whether an attempt speaks against its endpoint.
-[[nodiscard]] bool is_failure(const attempt_end& end) noexcept;
+/// @brief Whether an attempt counts as a failure of its endpoint.
+[[nodiscard]] bool is_failure(const attempt_result& end) noexcept;
 
 } // namespace plumspoke::entry
--- a/include/plumspoke/entry/retry_budget.hpp
+++ b/include/plumspoke/entry/retry_budget.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief Bounds retries to a share of the requests, so that failures don't multiply load.
+/// @brief Limits retries to a share of the requests, so that failures do not multiply the load.
 
 #include <atomic>
 #include <cstdint>
@@ -9,34 +9,38 @@
 namespace plumspoke::entry
 {
 
-/// @brief A token bucket without a clock: each request earns a share of a retry, each retry costs one.
+/// @brief A token bucket filled by requests instead of time: each request adds a fraction of a retry.
 class retry_budget
 {
   public:
-    /// @param percent retries allowed for each hundred requests
-    /// @param reserve retries that may be saved up; the bucket starts with them
+    /// @param percent retries allowed per hundred requests
+    /// @param reserve capacity of the bucket, in retries; it starts full
     retry_budget(std::int64_t percent, std::int64_t reserve) noexcept
-        : earned_(percent), most_(reserve * hundredths), balance_(reserve * hundredths)
+        : earned_per_request_(percent), max_balance_(reserve * units_per_retry),
+          balance_(reserve * units_per_retry)
     {
     }
 
     void note_request() noexcept
     {
         std::int64_t balance = balance_.load(std::memory_order_relaxed);
-        while (balance < most_ &&
-               !balance_.compare_exchange_weak(
-                   balance, balance + earned_ < most_ ? balance + earned_ : most_, std::memory_order_relaxed))
+        while (balance < max_balance_ &&
+               !balance_.compare_exchange_weak(balance,
+                                               balance + earned_per_request_ < max_balance_
+                                                   ? balance + earned_per_request_
+                                                   : max_balance_,
+                                               std::memory_order_relaxed))
         {
         }
     }
 
-    /// @return whether a retry may be made; it is paid for then
-    [[nodiscard]] bool take() noexcept
+    /// @return whether a retry is allowed; if so, it has been deducted
+    [[nodiscard]] bool try_consume() noexcept
     {
         std::int64_t balance = balance_.load(std::memory_order_relaxed);
-        while (balance >= hundredths)
+        while (balance >= units_per_retry)
         {
-            if (balance_.compare_exchange_weak(balance, balance - hundredths, std::memory_order_relaxed))
+            if (balance_.compare_exchange_weak(balance, balance - units_per_retry, std::memory_order_relaxed))
             {
                 return true;
             }
@@ -45,10 +49,10 @@
     }
 
   private:
-    static constexpr std::int64_t hundredths = 100;
+    static constexpr std::int64_t units_per_retry = 100;
 
-    std::int64_t earned_;
-    std::int64_t most_;
+    std::int64_t earned_per_request_;
+    std::int64_t max_balance_;
     std::atomic<std::int64_t> balance_;
 };
 
--- a/include/plumspoke/entry/route_table.hpp
+++ b/include/plumspoke/entry/route_table.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief The routes of one configuration version: immutable, published by read-copy-update.
+/// @brief Routes of one configuration version: immutable, published by read-copy-update.
 
 #include "plumspoke/control/model.hpp"
 #include "plumspoke/entry/admission.hpp"
@@ -19,7 +19,7 @@
 using service_pointer = boost::intrusive_ptr<service_state>;
 using slots_pointer = boost::intrusive_ptr<worker_slots>;
 
-/// @brief One service's way to its endpoints.
+/// @brief Configuration, state and endpoints of one service.
 struct service_route
 {
     control::service_config config;
@@ -27,7 +27,7 @@
     std::vector<endpoint_pointer> endpoints;
 };
 
-/// @brief All routes of one version.
+/// @brief All routes of one configuration version.
 struct route_table
 {
     std::uint64_t version = 0;
@@ -37,7 +37,7 @@
     [[nodiscard]] const service_route* find(std::string_view service) const;
 };
 
-/// @brief What a table is made with.
+/// @brief Options for building a route table.
 struct table_options
 {
     endpoint::guard_options guard;
@@ -45,35 +45,39 @@
     std::int64_t retry_reserve = 0;
 };
 
-/// @brief Makes the next table; what goes on under its name keeps its counts, guard and connections.
-/// @param before the table in force, or null
+/// @brief Builds the next table. Services, endpoints and workers that remain keep their state: counters,
+///        guards, slots and connections.
+/// @param before the current table, or null
+/// @param leaving workers that the platform lists as leaving
 [[nodiscard]] std::unique_ptr<route_table> make_table(const control::configuration& config,
                                                       const route_table* before,
                                                       const std::set<std::string>& leaving,
                                                       time_point now,
                                                       const table_options& options);
 
-/// @brief Chooses among endpoints that may be used and have a free slot, and takes the slot.
+/// @brief Chooses a usable endpoint with a free slot and acquires the slot.
 ///
-/// Each gets an expected time: its smoothed latency by how much of its slots is in use, and a round trip
-/// where it is in another availability zone. The least of up to `choices` random ones is taken.
-/// @param random any number; the same number gives the same choice
-/// @param avoid endpoints that this request was sent to before
-/// @return null where none is free
+/// The cost of an endpoint is its smoothed latency scaled by its slot utilization, plus a round trip if it
+/// is in another availability zone. The cheapest of up to `max_candidates` candidates, from a random start,
+/// is chosen.
+/// @param random any number; the choice is deterministic for a given number
+/// @param avoid endpoints that this request was already sent to; used only if no other is free
+/// @return null if none is free
 [[nodiscard]] endpoint_pointer choose_endpoint(const service_route& route,
                                                std::string_view own_zone,
                                                time_point now,
                                                std::uint64_t random,
                                                std::span<const endpoint_state* const> avoid);
 
-/// @brief Whether guards may take one more endpoint of the service out.
+/// @brief Whether one more endpoint of the service may be excluded by its guard.
 [[nodiscard]] bool may_open_guard(const service_route& route, time_point now, std::int64_t max_share_percent);
 
-/// @brief Takes endpoints out whose latency is far from their peers'.
-/// @return how many were taken out
-std::size_t trip_slow_endpoints(const service_route& route, time_point now, std::int64_t max_share_percent);
+/// @brief Excludes endpoints whose latency is far above the median of the service.
+/// @return number of endpoints excluded
+std::size_t
+exclude_slow_endpoints(const service_route& route, time_point now, std::int64_t max_share_percent);
 
-/// @brief What admission needs to know of a service now.
-[[nodiscard]] admission_view view_of(const service_route& route, time_point now, duration left);
+/// @brief Collects the admission input of a service.
+[[nodiscard]] admission_input make_admission_input(const service_route& route, time_point now, duration left);
 
 } // namespace plumspoke::entry
--- a/include/plumspoke/entry/server.hpp
+++ b/include/plumspoke/entry/server.hpp
@@ -40,16 +40,19 @@
   private:
     // ---- a request's path
     [[nodiscard]] http::response answer_call(const http::request& received, std::string_view service);
-    [[nodiscard]] http::response carry(call_context& call);
-    [[nodiscard]] http::response carry_claimed(call_context& call);
+    [[nodiscard]] http::response process_call(call_context& call);
+    [[nodiscard]] http::response process_claimed_call(call_context& call);
     [[nodiscard]] endpoint_pointer take_slot(call_context& call, std::optional<admission_refusal>& refused);
     [[nodiscard]] endpoint_pointer try_slot(const call_context& call);
     [[nodiscard]] http::response attempt_loop(call_context& call);
     [[nodiscard]] endpoint::exchange_result attempt(call_context& call, endpoint_state& target);
-    void learn(const call_context& call, endpoint_state& target, const attempt_end& end, duration took);
+    void record_attempt(const call_context& call,
+                        endpoint_state& target,
+                        const attempt_result& end,
+                        duration took);
     [[nodiscard]] http::response
-    refuse(call_context& call, refusal reason, outcome told, duration retry_after);
-    [[nodiscard]] http::response finish(call_context& call, http::response answer, outcome told);
+    refuse(call_context& call, refusal reason, outcome reported, duration retry_after);
+    [[nodiscard]] http::response finish(call_context& call, http::response answer, outcome reported);
     [[nodiscard]] bool serving(time_point now) const noexcept;
 
     // ---- reports to control
--- a/include/plumspoke/entry/service_state.hpp
+++ b/include/plumspoke/entry/service_state.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief What an entry counts and learns of one service over the life of the process.
+/// @brief State and metrics of one service in an entry, kept across configuration versions.
 
 #include "plumspoke/entry/reason.hpp"
 #include "plumspoke/entry/retry_budget.hpp"
@@ -14,7 +14,7 @@
 namespace plumspoke::entry
 {
 
-/// @brief Counters, latencies and the retry budget of a service; all lock-free.
+/// @brief Counters, latency histograms and the retry budget of a service; lock-free.
 class service_state : public boost::intrusive_ref_counter<service_state>
 {
   public:
@@ -32,12 +32,12 @@
         return budget_;
     }
 
-    /// @brief Smoothed time that a slot is held, in microseconds; 0 before the first.
+    /// @brief Smoothed time in microseconds that a slot is held; 0 before the first sample.
     [[nodiscard]] std::int64_t mean_us() const noexcept
     {
         return mean_us_.load(std::memory_order_relaxed);
     }
-    void note_time(duration took) noexcept
+    void record_slot_time(duration took) noexcept
     {
         constexpr std::int64_t smoothing = 16;
         const std::int64_t before = mean_us();
@@ -51,7 +51,8 @@
     metrics::counter sent; // attempts
     std::array<metrics::counter, refusal_count> refusals;
     std::array<metrics::counter, retry_reason_count> retries;
-    std::array<metrics::latency_histogram, outcome_count> latency; // its count is the count of outcomes
+    std::array<metrics::latency_histogram, outcome_count>
+        latency; // by outcome; its count is the number of such outcomes
 
   private:
     std::string name_;
--- a/include/plumspoke/entry/slot_queue.hpp
+++ b/include/plumspoke/entry/slot_queue.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief Requests that wait for a slot: latency-critical ones first, then by arrival.
+/// @brief Queue of requests waiting for a slot: latency-critical ones first, then in order of arrival.
 
 #include "plumspoke/time/time.hpp"
 
@@ -14,28 +14,29 @@
 namespace plumspoke::entry
 {
 
-/// @brief A queue of waiting threads. Its mutex is never held over I/O.
+/// @brief A priority queue of waiting threads. Its mutex is never held during I/O.
 class slot_queue
 {
   public:
-    /// @brief Tries to take a slot; true where it did.
+    /// @brief Tries to acquire a slot; returns whether it did.
     using attempt = std::function<bool()>;
 
-    /// @brief Waits until an attempt succeeds or the time is over.
-    /// @param service whose slots it waits for; only compared
-    /// @param latency_critical whether it goes before those that are not
+    /// @brief Waits until an attempt succeeds or the timeout is reached.
+    /// @param service identifies the service whose slots are waited for; never dereferenced
+    /// @param latency_critical whether the waiter is queued ahead of non-critical ones
+    /// @param until time of the last attempt
     /// @return whether an attempt succeeded
     [[nodiscard]] bool
     wait(const void* service, bool latency_critical, time_point until, const attempt& try_now);
 
-    /// @brief A slot was given back: the first in the queue tries again.
+    /// @brief A slot was released: the first waiter tries again.
     void notify_one();
 
-    /// @brief Grants or routes have changed: all try again.
+    /// @brief Grants or routes have changed: all waiters try again.
     void notify_all();
 
-    /// @brief Whether somebody waits who goes before a newcomer of this class.
-    [[nodiscard]] bool others_first(bool latency_critical) const noexcept
+    /// @brief Whether a waiter precedes a new request of this priority.
+    [[nodiscard]] bool has_waiter_ahead(bool latency_critical) const noexcept
     {
         return critical_.load(std::memory_order_acquire) > 0 ||
                (!latency_critical && waiting_.load(std::memory_order_acquire) > 0);
@@ -52,7 +53,7 @@
     using waiter_list = boost::intrusive::list<waiter>;
 
     void insert(waiter& added);
-    void wake_first(const waiter_list::iterator& from, const void* other_than);
+    void wake_first_waiter(const waiter_list::iterator& from, const void* other_than);
 
     std::mutex mutex_;
     waiter_list waiters_;
--- a/include/plumspoke/entry/worker_slots.hpp
+++ b/include/plumspoke/entry/worker_slots.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief The slots of one worker that control has granted to this entry.
+/// @brief Slots of one worker that control has granted to this entry.
 
 #include "plumspoke/time/time.hpp"
 
@@ -16,7 +16,7 @@
 namespace plumspoke::entry
 {
 
-/// @brief Counts what is in use against what is granted; lock-free.
+/// @brief Counts used against granted slots. Lock-free, except for the slots of abandoned requests.
 class worker_slots : public boost::intrusive_ref_counter<worker_slots>
 {
   public:
@@ -24,7 +24,7 @@
     {
     }
 
-    /// @return whether a slot was taken; give it back with release
+    /// @return whether a slot was acquired; return it with `release` or `schedule_release`
     [[nodiscard]] bool acquire() noexcept
     {
         std::int64_t used = used_.load(std::memory_order_relaxed);
@@ -43,21 +43,22 @@
         used_.fetch_sub(1, std::memory_order_acq_rel);
     }
 
-    /// @brief Gives a slot back at `until`: its request was abandoned and may still run on the worker.
-    void release_later(time_point until)
+    /// @brief Releases a slot at `until`: its request was abandoned and may still run on the worker.
+    void schedule_release(time_point until)
     {
         const std::lock_guard lock(mutex_);
         abandoned_.push_back(until);
     }
 
-    /// @brief Gives back the slots of abandoned requests whose time is over.
-    /// @return how many were given back
-    std::size_t release_due(time_point now)
+    /// @brief Releases the slots of abandoned requests whose release time has passed.
+    /// @return number of released slots
+    std::size_t release_expired(time_point now)
     {
         const std::lock_guard lock(mutex_);
-        if (last_check_ != time_point{} && now > last_check_ + longest_gap)
+        if (last_check_ != time_point{} && now > last_check_ + max_check_interval)
         {
-            // A freeze, or a clock that jumped: how much time the endpoint has had is not known.
+            // The process was suspended or the clock jumped, so the time that the endpoint has had is
+            // unknown: extend by the gap.
             for (time_point& until : abandoned_)
             {
                 until += now - last_check_;
@@ -73,7 +74,7 @@
         return count;
     }
 
-    /// @brief A lower grant takes effect at once for new requests; those in flight finish.
+    /// @brief Sets the granted slots. A lower grant applies at once to new requests; those in flight finish.
     void set_granted(std::int64_t granted) noexcept
     {
         granted_.store(granted, std::memory_order_release);
@@ -87,10 +88,10 @@
     {
         return used_.load(std::memory_order_acquire);
     }
-    /// @brief What control must count as held: what may be used, or still is.
+    /// @brief Slots that control must count as held: the larger of granted and used.
     [[nodiscard]] std::int64_t held() const noexcept
     {
-        // Granted is read first: a slot taken in between was within what is reported.
+        // The grant is read first: a slot acquired between the reads is within the reported number.
         const std::int64_t allowed = granted();
         return std::max(allowed, used());
     }
@@ -99,13 +100,13 @@
         return worker_;
     }
 
-    /// @brief How many connections the worker takes for each of its slots.
+    /// @brief Sets the number of connections that the worker accepts per slot.
     void set_connections_per_slot(std::int64_t connections) noexcept
     {
         connections_per_slot_.store(connections, std::memory_order_relaxed);
     }
 
-    /// @brief How many idle connections fit beside one for each granted slot.
+    /// @brief Number of idle connections allowed beside one connection per granted slot.
     [[nodiscard]] std::int64_t idle_allowed() const noexcept
     {
         return granted() * (connections_per_slot_.load(std::memory_order_relaxed) - 1);
@@ -122,7 +123,8 @@
   private:
     std::string worker_;
     std::mutex mutex_;
-    static constexpr auto longest_gap = seconds(1); // between two looks; usually a quarter of it
+    static constexpr auto max_check_interval =
+        seconds(1); // between two calls of release_expired, which are normally a quarter of it apart
 
     std::vector<time_point> abandoned_;
     time_point last_check_{};
--- a/src/endpoint/connection.cpp
+++ b/src/endpoint/connection.cpp
@@ -59,9 +59,9 @@
             return false;
         }
         pollfd waited{socket, events, 0};
-        constexpr std::int64_t longest_wait = 60'000;
+        constexpr std::int64_t max_poll_ms = 60'000;
         const int ready =
-            ::poll(&waited, 1, static_cast<int>(std::min<std::int64_t>(left.count(), longest_wait)));
+            ::poll(&waited, 1, static_cast<int>(std::min<std::int64_t>(left.count(), max_poll_ms)));
         if (ready > 0)
         {
             return true;
@@ -139,7 +139,7 @@
 {
     if (socket_ >= 0)
     {
-        if (outstanding_)
+        if (answer_pending_)
         {
             // An abandoned request: a reset tells the endpoint, and drops what has not left this machine.
             const linger reset{1, 0};
@@ -215,8 +215,8 @@
 exchange_result connection::exchange(std::string_view request, time_point deadline, std::size_t max_answer)
 {
     error::check_invariant(
-        error::invariant::answer_to_own_caller, !outstanding_, "endpoint::connection::exchange");
-    outstanding_ = true;
+        error::invariant::answer_to_own_caller, !answer_pending_, "endpoint::connection::exchange");
+    answer_pending_ = true;
     exchange_result result;
     result.error = write_all(request, deadline, result.reached);
     if (result.error)
@@ -254,7 +254,7 @@
             {
                 take_answer(parser, result);
                 result.reusable = false;
-                outstanding_ = false;
+                answer_pending_ = false;
                 return result;
             }
             result.error = anything_read ? errc::truncated_answer : errc::closed_before_answer;
@@ -272,7 +272,7 @@
         if (whole)
         {
             take_answer(parser, result);
-            outstanding_ = false;
+            answer_pending_ = false;
             result.reusable = result.reusable && buffer.empty(); // more than was asked for: never reused
             return result;
         }
@@ -283,7 +283,7 @@
     }
 }
 
-bool connection::idle_and_open() const noexcept
+bool connection::is_idle_and_open() const noexcept
 {
     char byte = 0;
     const ssize_t count = ::recv(socket_, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
--- a/src/endpoint/guard.cpp
+++ b/src/endpoint/guard.cpp
@@ -32,13 +32,13 @@
 void guard::note_success() noexcept
 {
     state_ = state::closed;
-    failures_in_row_ = 0;
+    consecutive_failures_ = 0;
     openings_ = 0;
 }
 
 void guard::open(time_point now) noexcept
 {
-    const int doubling = std::min(openings_, options_.longest_doubling);
+    const int doubling = std::min(openings_, options_.max_doublings);
     state_ = state::open;
     open_until_ = now + options_.open_for * (1 << doubling);
     ++openings_;
@@ -46,9 +46,9 @@
 
 void guard::note_failure(time_point now, bool may_open) noexcept
 {
-    ++failures_in_row_;
+    ++consecutive_failures_;
     if (state_ == state::trial ||
-        (state_ == state::closed && failures_in_row_ >= options_.failures && may_open))
+        (state_ == state::closed && consecutive_failures_ >= options_.failures && may_open))
     {
         open(now);
     }
--- a/src/entry/admission.cpp
+++ b/src/entry/admission.cpp
@@ -8,54 +8,54 @@
 namespace
 {
 
-constexpr auto shortest_retry = milliseconds(100);
-constexpr auto no_slots_retry = milliseconds(1000); // control shares slots out anew each second
+constexpr auto min_retry_after = milliseconds(100);
+constexpr auto no_slots_retry_after = milliseconds(1000); // control redistributes slots every second
 
 } // namespace
 
-duration expected_wait(const admission_view& view) noexcept
+duration expected_wait(const admission_input& input) noexcept
 {
-    if (view.waiting <= 0)
+    if (input.waiting <= 0)
     {
         return duration{};
     }
-    return duration((view.waiting + 1) * view.mean_us / std::max<std::int64_t>(1, view.slots));
+    return duration((input.waiting + 1) * input.mean_us / std::max<std::int64_t>(1, input.slots));
 }
 
-duration longest_wait(const admission_view& view) noexcept
+duration max_wait(const admission_input& input) noexcept
 {
-    // Twice the usual time is left for the answer: one that starts too late is wasted work, and holds its
-    // slot.
-    return std::max(duration{}, view.left - std::min(2 * duration(view.mean_us), view.left / 2));
+    // Reserves twice the mean time for the answer: a request that starts too late occupies a slot for an
+    // answer that nobody waits for.
+    return std::max(duration{}, input.left - std::min(2 * duration(input.mean_us), input.left / 2));
 }
 
-std::optional<admission_refusal> admit(const admission_view& view) noexcept
+std::optional<admission_refusal> admit(const admission_input& input) noexcept
 {
-    const duration wait = expected_wait(view);
-    const duration come_back = std::max<duration>(shortest_retry, wait);
-    if (view.usable == 0)
+    const duration wait = expected_wait(input);
+    const duration retry_after = std::max<duration>(min_retry_after, wait);
+    if (input.usable == 0)
     {
-        return admission_refusal{refusal::no_endpoint, no_slots_retry};
+        return admission_refusal{refusal::no_endpoint, no_slots_retry_after};
     }
-    if (view.slots == 0)
+    if (input.slots == 0)
     {
-        return admission_refusal{refusal::no_slots, no_slots_retry};
+        return admission_refusal{refusal::no_slots, no_slots_retry_after};
     }
-    if (view.max_in_flight > 0 && view.in_flight >= view.max_in_flight)
+    if (input.max_in_flight > 0 && input.in_flight >= input.max_in_flight)
     {
-        return admission_refusal{refusal::over_quota, come_back};
+        return admission_refusal{refusal::over_quota, retry_after};
     }
-    if (view.waiting >= view.max_waiting && view.waiting > 0)
+    if (input.waiting >= input.max_waiting && input.waiting > 0)
     {
-        return admission_refusal{refusal::queue_full, come_back};
+        return admission_refusal{refusal::queue_full, retry_after};
     }
-    if (view.left <= duration{})
+    if (input.left <= duration{})
     {
-        return admission_refusal{refusal::deadline_passed, shortest_retry};
+        return admission_refusal{refusal::deadline_passed, min_retry_after};
     }
-    if (wait > longest_wait(view))
+    if (wait > max_wait(input))
     {
-        return admission_refusal{refusal::cannot_meet_deadline, come_back};
+        return admission_refusal{refusal::cannot_meet_deadline, retry_after};
     }
     return std::nullopt;
 }
--- a/src/entry/call.cpp
+++ b/src/entry/call.cpp
@@ -18,8 +18,8 @@
 constexpr std::string_view outcome_header = "Plumspoke-Outcome";
 constexpr std::string_view leaving_header = "Plumspoke-Leaving";
 constexpr auto leaving_grace = seconds(5);
-constexpr auto believe_leaving = seconds(30);
-constexpr auto shortest_retry_after = milliseconds(100);
+constexpr auto leaving_report_lifetime = seconds(30);
+constexpr auto min_retry_after = milliseconds(100);
 
 /// A thread's own random numbers.
 std::uint64_t random_number()
@@ -108,12 +108,12 @@
     call.state->requests.add();
     call.state->budget().note_request();
     call.state->in_flight.fetch_add(1, std::memory_order_relaxed);
-    http::response result = carry(call);
+    http::response result = process_call(call);
     call.state->in_flight.fetch_sub(1, std::memory_order_relaxed);
     return result;
 }
 
-http::response server::carry(call_context& call)
+http::response server::process_call(call_context& call)
 {
     if (!serving(call.started))
     {
@@ -121,19 +121,19 @@
     }
     if (!call.safe && !call.key.empty())
     {
-        return carry_claimed(call);
+        return process_claimed_call(call);
     }
     return attempt_loop(call);
 }
 
 /// An unsafe request under a key: claimed first, so that the key is sent once whichever entry it comes by.
-http::response server::carry_claimed(call_context& call)
+http::response server::process_claimed_call(call_context& call)
 {
     claim_request asked;
     asked.service = call.service;
     asked.key = call.key;
     asked.digest = call.digest();
-    asked.asker = settings_.name + "/" + incarnation_ + "/" + std::to_string(call.number);
+    asked.requester = settings_.name + "/" + incarnation_ + "/" + std::to_string(call.number);
     asked.deadline = std::chrono::duration_cast<duration>(call.flow->deadline() - call.started);
     const std::optional<claim_reply> claimed = control_.claim(asked, call.flow->deadline());
     if (!claimed.has_value())
@@ -168,10 +168,10 @@
     ended.key = call.key;
     ended.claim = claimed->claim;
     ended.status = result.status;
-    ended.state = call.told == outcome::done      ? control::claim_state::done
-                  : call.told == outcome::not_run ? control::claim_state::granted
-                                                  : control::claim_state::unknown;
-    if (call.told == outcome::done && result.body.size() <= call_context::max_recorded_body)
+    ended.state = call.reported == outcome::done      ? control::claim_state::done
+                  : call.reported == outcome::not_run ? control::claim_state::granted
+                                                      : control::claim_state::unknown;
+    if (call.reported == outcome::done && result.body.size() <= call_context::max_recorded_body)
     {
         ended.content_type = result.content_type;
         ended.body = result.body;
@@ -199,14 +199,14 @@
 endpoint_pointer server::take_slot(call_context& call, std::optional<admission_refusal>& refused)
 {
     const bool critical = call.latency_critical;
-    if (!queue_.others_first(critical))
+    if (!queue_.has_waiter_ahead(critical))
     {
         if (endpoint_pointer found = try_slot(call); found != nullptr)
         {
             return found;
         }
     }
-    admission_view view;
+    admission_input input;
     {
         const rcu_read_section section;
         const route_table* table = table_.read(section);
@@ -215,17 +215,17 @@
         const auto left = std::chrono::duration_cast<duration>(call.flow->deadline() - now);
         if (route != nullptr)
         {
-            view = view_of(*route, now, left);
+            input = make_admission_input(*route, now, left);
         }
     }
-    refused = admit(view);
+    refused = admit(input);
     if (refused.has_value())
     {
         return nullptr;
     }
     endpoint_pointer found;
     call.state->waiting.fetch_add(1);
-    const time_point until = std::chrono::steady_clock::now() + longest_wait(view);
+    const time_point until = std::chrono::steady_clock::now() + max_wait(input);
     const bool taken = queue_.wait(call.state.get(),
                                    critical,
                                    until,
@@ -238,7 +238,7 @@
     if (!taken)
     {
         refused = admission_refusal{refusal::cannot_meet_deadline,
-                                    std::max<duration>(shortest_retry_after, expected_wait(view))};
+                                    std::max<duration>(min_retry_after, expected_wait(input))};
     }
     return found;
 }
@@ -297,7 +297,10 @@
     return result;
 }
 
-void server::learn(const call_context& call, endpoint_state& target, const attempt_end& end, duration took)
+void server::record_attempt(const call_context& call,
+                            endpoint_state& target,
+                            const attempt_result& end,
+                            duration took)
 {
     const time_point now = std::chrono::steady_clock::now();
     if (!is_failure(end))
@@ -305,7 +308,7 @@
         if (!end.endpoint_refused)
         {
             target.note_success(took);
-            call.state->note_time(took);
+            call.state->record_slot_time(took);
         }
         return;
     }
@@ -327,13 +330,13 @@
         const endpoint_pointer target = take_slot(call, refused);
         if (target == nullptr)
         {
-            return refuse(call, refused->reason, call.flow->told_if_given_up(), refused->retry_after);
+            return refuse(call, refused->reason, call.flow->outcome_if_abandoned(), refused->retry_after);
         }
         const time_point began = std::chrono::steady_clock::now();
         if (!serving(began))
         {
             target->slots().release(); // the lease ran out while it waited
-            return refuse(call, refusal::not_serving, call.flow->told_if_given_up(), seconds(1));
+            return refuse(call, refusal::not_serving, call.flow->outcome_if_abandoned(), seconds(1));
         }
         error::check_invariant(error::invariant::leaving_gets_no_work,
                                !target->leaving(began) || began < target->leaving_since() + leaving_grace,
@@ -345,7 +348,7 @@
         if (result.error && result.reached == endpoint::progress::sent)
         {
             // The endpoint may go on with it for as long as an answer may take: its slot is not free yet.
-            target->slots().release_later(std::chrono::steady_clock::now() + 2 * call.longest);
+            target->slots().schedule_release(std::chrono::steady_clock::now() + 2 * call.longest);
         }
         else
         {
@@ -353,7 +356,7 @@
             queue_.notify_one();
         }
 
-        attempt_end end;
+        attempt_result end;
         end.reached = result.reached;
         end.error = result.error;
         end.status = result.answer.status;
@@ -361,52 +364,53 @@
                                                     to_string(outcome::not_run);
         if (!http::find_header(result.answer.headers, leaving_header).empty())
         {
-            target->note_said_leaving(began, began + believe_leaving);
+            target->note_self_reported_leaving(began, began + leaving_report_lifetime);
         }
         const time_point ended = std::chrono::steady_clock::now();
-        learn(call, *target, end, std::chrono::duration_cast<duration>(ended - began));
-        const verdict decided = call.flow->after(ended, end, call.state->budget());
-        if (const auto* again = std::get_if<send_again>(&decided))
+        record_attempt(call, *target, end, std::chrono::duration_cast<duration>(ended - began));
+        const retry_decision decided = call.flow->decide(ended, end, call.state->budget());
+        if (const auto* again = std::get_if<retry_attempt>(&decided))
         {
             call.state->retries.at(static_cast<std::size_t>(again->reason)).add();
             call.tried.push_back(target.get());
-            call.tried_kept.push_back(target);
+            call.tried_owners.push_back(target);
             continue;
         }
-        if (const auto* passed = std::get_if<pass_on>(&decided))
+        if (const auto* passed = std::get_if<forward_answer>(&decided))
         {
-            return finish(call, std::move(result.answer), passed->told);
+            return finish(call, std::move(result.answer), passed->reported);
         }
-        const auto& given_up = std::get<give_up>(decided);
-        return refuse(call, given_up.reason, given_up.told, shortest_retry_after);
+        const auto& given_up = std::get<abandon_request>(decided);
+        return refuse(call, given_up.reason, given_up.reported, min_retry_after);
     }
 }
 
-http::response server::refuse(call_context& call, refusal reason, outcome told, duration retry_after)
+http::response server::refuse(call_context& call, refusal reason, outcome reported, duration retry_after)
 {
     call.state->refusals.at(static_cast<std::size_t>(reason)).add();
     const int status = reason == refusal::claim_mismatch || reason == refusal::claim_in_progress ||
                                reason == refusal::claim_unknown
                            ? 409
-                           : (told == outcome::unknown ? 504 : 503);
-    return finish(call, call.refusal_response(reason, told, retry_after, status), told);
+                           : (reported == outcome::unknown ? 504 : 503);
+    return finish(call, call.refusal_response(reason, reported, retry_after, status), reported);
 }
 
-http::response server::finish(call_context& call, http::response answer, outcome told)
+http::response server::finish(call_context& call, http::response answer, outcome reported)
 {
     error::check_invariant(error::invariant::not_run_is_true,
-                           told != outcome::not_run || call.flow->told_if_given_up() == outcome::not_run,
+                           reported != outcome::not_run ||
+                               call.flow->outcome_if_abandoned() == outcome::not_run,
                            "entry::server::finish");
-    call.told = told;
+    call.reported = reported;
     std::erase_if(answer.headers,
                   [](const http::header& one)
                   {
                       return http::same_name(one.name, outcome_header) ||
                              http::same_name(one.name, "Plumspoke-Request");
                   });
-    answer.headers.push_back({std::string(outcome_header), std::string(to_string(told))});
+    answer.headers.push_back({std::string(outcome_header), std::string(to_string(reported))});
     const auto took = std::chrono::duration_cast<duration>(std::chrono::steady_clock::now() - call.started);
-    call.state->latency.at(static_cast<std::size_t>(told)).record(took.count());
+    call.state->latency.at(static_cast<std::size_t>(reported)).record(took.count());
     return answer;
 }
 
--- a/src/entry/call_context.cpp
+++ b/src/entry/call_context.cpp
@@ -33,8 +33,10 @@
     return entry + "-" + incarnation + "-" + std::to_string(number);
 }
 
-http::response
-call_context::refusal_response(refusal reason, outcome told_outcome, duration retry_after, int status) const
+http::response call_context::refusal_response(refusal reason,
+                                              outcome reported_outcome,
+                                              duration retry_after,
+                                              int status) const
 {
     http::response answer;
     answer.status = status;
@@ -43,9 +45,9 @@
     answer.headers.push_back({"Plumspoke-Reason", reason_text});
     if (!flow.has_value())
     {
-        answer.headers.push_back({"Plumspoke-Outcome", std::string(to_string(told_outcome))});
+        answer.headers.push_back({"Plumspoke-Outcome", std::string(to_string(reported_outcome))});
     }
-    nlohmann::json body = {{"outcome", to_string(told_outcome)}, {"reason", reason_text}};
+    nlohmann::json body = {{"outcome", to_string(reported_outcome)}, {"reason", reason_text}};
     if (retry_after.count() > 0)
     {
         // Retry-After counts whole seconds; the body is exact.
--- a/src/entry/call_context.hpp
+++ b/src/entry/call_context.hpp
@@ -28,7 +28,7 @@
     [[nodiscard]] std::string id(const std::string& entry, const std::string& incarnation) const;
 
     [[nodiscard]] http::response
-    refusal_response(refusal reason, outcome told_outcome, duration retry_after, int status) const;
+    refusal_response(refusal reason, outcome reported_outcome, duration retry_after, int status) const;
 
     const http::request& received;
     time_point started;
@@ -42,8 +42,8 @@
     bool latency_critical = true;
     std::optional<request_flow> flow;
     std::vector<const endpoint_state*> tried;
-    std::vector<endpoint_pointer> tried_kept; // keeps what `tried` points to
-    outcome told = outcome::not_run;
+    std::vector<endpoint_pointer> tried_owners; // keeps what `tried` points to
+    outcome reported = outcome::not_run;
 };
 
 } // namespace plumspoke::entry
--- a/src/entry/control_client.cpp
+++ b/src/entry/control_client.cpp
@@ -24,7 +24,7 @@
 
 } // namespace
 
-/// @brief One channel a peer, and which of them led last.
+/// @brief One channel per peer, and the peer believed to lead.
 class control_client::channels
 {
   public:
@@ -55,8 +55,8 @@
         return *stubs_[position];
     }
 
-    /// @brief Goes to the peer that was named, or to the next one.
-    void move_on(std::size_t from, const std::string& hint)
+    /// @brief Switches to the peer named as the leader, or else to the next one.
+    void switch_peer(std::size_t from, const std::string& hint)
     {
         for (std::size_t i = 0; i < peers_.size(); ++i)
         {
@@ -109,7 +109,7 @@
     const grpc::Status status = channels_->stub(position).Report(&context, request, &orders);
     if (!status.ok() || !orders.leader())
     {
-        channels_->move_on(position, orders.leader_address());
+        channels_->switch_peer(position, orders.leader_address());
         return std::nullopt;
     }
     report_reply reply;
@@ -129,7 +129,7 @@
     request.set_service(asked.service);
     request.set_key(asked.key);
     request.set_digest(asked.digest);
-    request.set_entry(asked.asker);
+    request.set_entry(asked.requester);
     request.set_deadline_ms(
         static_cast<std::uint32_t>(std::chrono::duration_cast<milliseconds>(asked.deadline).count()));
     for (time_point now = std::chrono::steady_clock::now(); now < deadline;
@@ -148,7 +148,7 @@
                                answer.content_type(),
                                answer.body()};
         }
-        channels_->move_on(position, answer.leader_address());
+        channels_->switch_peer(position, answer.leader_address());
         std::this_thread::sleep_for(pause_between_rounds);
     }
     return std::nullopt;
@@ -176,7 +176,7 @@
         {
             return answer.recorded();
         }
-        channels_->move_on(position, answer.leader_address());
+        channels_->switch_peer(position, answer.leader_address());
         std::this_thread::sleep_for(pause_between_rounds);
     }
     return false;
--- a/src/entry/endpoint_state.cpp
+++ b/src/entry/endpoint_state.cpp
@@ -6,8 +6,9 @@
 namespace
 {
 
-constexpr auto no_need_to_look = milliseconds(5); // an endpoint hardly closes what it has just answered on
-constexpr std::int64_t smoothing = 8;             // a new time counts an eighth
+constexpr auto skip_check_within =
+    milliseconds(5);                  // an endpoint rarely closes a connection right after its answer
+constexpr std::int64_t smoothing = 8; // weight of a new sample is one eighth
 
 } // namespace
 
@@ -43,13 +44,13 @@
     listed_leaving_.store(leaving, std::memory_order_release);
 }
 
-void endpoint_state::note_said_leaving(time_point now, time_point until) noexcept
+void endpoint_state::note_self_reported_leaving(time_point now, time_point until) noexcept
 {
     if (!leaving(now))
     {
         leaving_since_us_.store(to_microseconds(now), std::memory_order_release);
     }
-    said_leaving_until_us_.store(to_microseconds(until), std::memory_order_release);
+    self_reported_leaving_until_us_.store(to_microseconds(until), std::memory_order_release);
 }
 
 bool endpoint_state::permits(time_point now) const
@@ -62,14 +63,14 @@
     return guard_.permits(now);
 }
 
-bool endpoint_state::is_out(time_point now) const
+bool endpoint_state::is_excluded(time_point now) const
 {
     if (guard_closed_.load(std::memory_order_acquire))
     {
         return false;
     }
     const std::lock_guard lock(mutex_);
-    return guard_.is_out(now);
+    return guard_.is_excluded(now);
 }
 
 void endpoint_state::note_sent(time_point now)
@@ -111,11 +112,12 @@
     const std::lock_guard lock(mutex_);
     while (!idle_.empty())
     {
-        std::unique_ptr<endpoint::connection> found(&idle_.back()); // the newest: least likely to be closed
+        std::unique_ptr<endpoint::connection> found(
+            &idle_.back()); // most recently used: least likely to have been closed
         idle_.pop_back();
         slots_->add_idle(-1);
-        const bool just_used = found->idle_since() + no_need_to_look > now;
-        if (found->idle_since() + longest_idle > now && (just_used || found->idle_and_open()))
+        const bool just_used = found->idle_since() + skip_check_within > now;
+        if (found->idle_since() + longest_idle > now && (just_used || found->is_idle_and_open()))
         {
             return found;
         }
--- a/src/entry/pages.cpp
+++ b/src/entry/pages.cpp
@@ -87,7 +87,7 @@
                                      {"slots", one->slots().granted()},
                                      {"used", one->slots().used()},
                                      {"leaving", one->leaving(now)},
-                                     {"out", one->is_out(now)},
+                                     {"out", one->is_excluded(now)},
                                      {"expected_us", one->expected_us()}});
             }
         }
--- a/src/entry/request_flow.cpp
+++ b/src/entry/request_flow.cpp
@@ -10,7 +10,7 @@
 
 constexpr int first_server_error = 500;
 
-retry_reason reason_of(const attempt_end& end)
+retry_reason reason_of(const attempt_result& end)
 {
     if (end.endpoint_refused)
     {
@@ -44,7 +44,7 @@
 
 } // namespace
 
-bool is_failure(const attempt_end& end) noexcept
+bool is_failure(const attempt_result& end) noexcept
 {
     return end.error || (end.status >= first_server_error && !end.endpoint_refused);
 }
@@ -56,22 +56,23 @@
     ++attempts_;
 }
 
-verdict request_flow::after(time_point now, const attempt_end& end, retry_budget& budget)
+retry_decision request_flow::decide(time_point now, const attempt_result& end, retry_budget& budget)
 {
-    const bool proof = end.reached == endpoint::progress::nothing_sent || end.endpoint_refused;
+    const bool certainly_not_run = end.reached == endpoint::progress::nothing_sent || end.endpoint_refused;
     const bool answered = end.reached == endpoint::progress::answered && !end.error;
     if (answered && !end.endpoint_refused && end.status < first_server_error)
     {
-        return pass_on{outcome::done};
+        return forward_answer{outcome::done};
     }
-    may_have_run_ = may_have_run_ || !proof;
-    const auto stop = [this, answered](refusal reason) -> verdict
+    may_have_run_ = may_have_run_ || !certainly_not_run;
+    const auto stop = [this, answered](refusal reason) -> retry_decision
     {
         if (answered)
         {
-            return pass_on{told_if_given_up()}; // the endpoint's own words say more than ours
+            return forward_answer{outcome_if_abandoned()}; // the endpoint's error response carries more
+                                                           // detail than a generated one
         }
-        return give_up{told_if_given_up(), reason};
+        return abandon_request{outcome_if_abandoned(), reason};
     };
     if (!safe_ && may_have_run_)
     {
@@ -85,11 +86,11 @@
     {
         return stop(refusal::attempts_used_up);
     }
-    if (!budget.take())
+    if (!budget.try_consume())
     {
         return stop(refusal::retry_budget_empty);
     }
-    return send_again{reason_of(end)};
+    return retry_attempt{reason_of(end)};
 }
 
 } // namespace plumspoke::entry
--- a/src/entry/route_table.cpp
+++ b/src/entry/route_table.cpp
@@ -8,12 +8,12 @@
 namespace
 {
 
-constexpr std::size_t choices = 4;
-constexpr std::int64_t other_zone_us = 1000; // there and back between availability zones, by the brief
-constexpr std::int64_t whole = 100;
+constexpr std::size_t max_candidates = 4;
+constexpr std::int64_t cross_zone_round_trip_us = 1000; // specified round trip between availability zones
+constexpr std::int64_t hundred_percent = 100;
 constexpr std::int64_t slow_factor = 8;
-constexpr std::int64_t slow_floor_us = 20'000;
-constexpr std::size_t fewest_peers = 3;
+constexpr std::int64_t min_slow_latency_us = 20'000;
+constexpr std::size_t min_peers = 3;
 
 slots_pointer slots_of(const std::string& worker, const route_table* before, route_table& next)
 {
@@ -55,7 +55,7 @@
     const std::int64_t granted = std::max<std::int64_t>(1, endpoint.slots().granted());
     const std::int64_t used = endpoint.slots().used();
     const std::int64_t busy = endpoint.expected_us() * (granted + used) / granted;
-    return busy + (endpoint.availability_zone() == own_zone ? 0 : other_zone_us);
+    return busy + (endpoint.availability_zone() == own_zone ? 0 : cross_zone_round_trip_us);
 }
 
 bool usable(const endpoint_state& endpoint, time_point now)
@@ -120,7 +120,7 @@
     endpoint_state* best = nullptr;
     std::int64_t best_time = 0;
     std::size_t seen = 0;
-    for (std::size_t step = 0; step < count && seen < choices; ++step)
+    for (std::size_t step = 0; step < count && seen < max_candidates; ++step)
     {
         endpoint_state& candidate = *route.endpoints[(start + step) % count];
         const bool avoided = std::find(avoid.begin(), avoid.end(), &candidate) != avoid.end();
@@ -141,7 +141,8 @@
     {
         return best;
     }
-    // Others were quicker; take any that has room, avoided ones last.
+    // Concurrent requests took the slots of the candidates: take any endpoint with a free slot, avoided ones
+    // last.
     for (const bool also_avoided : {false, true})
     {
         for (std::size_t step = 0; step < count; ++step)
@@ -167,13 +168,13 @@
                                    route.endpoints.end(),
                                    [now](const endpoint_pointer& one)
                                    {
-                                       return one->is_out(now);
+                                       return one->is_excluded(now);
                                    });
     const auto count = static_cast<std::int64_t>(route.endpoints.size());
-    return (out + 1) * whole <= count * max_share_percent;
+    return (out + 1) * hundred_percent <= count * max_share_percent;
 }
 
-std::size_t trip_slow_endpoints(const service_route& route, time_point now, std::int64_t max_share_percent)
+std::size_t exclude_slow_endpoints(const service_route& route, time_point now, std::int64_t max_share_percent)
 {
     std::vector<std::int64_t> times;
     for (const endpoint_pointer& one : route.endpoints)
@@ -183,17 +184,18 @@
             times.push_back(one->expected_us());
         }
     }
-    if (times.size() < fewest_peers)
+    if (times.size() < min_peers)
     {
         return 0;
     }
     const auto middle = times.begin() + static_cast<std::ptrdiff_t>(times.size() / 2);
     std::nth_element(times.begin(), middle, times.end());
-    const std::int64_t limit = std::max(*middle * slow_factor, slow_floor_us);
+    const std::int64_t limit = std::max(*middle * slow_factor, min_slow_latency_us);
     std::size_t tripped = 0;
     for (const endpoint_pointer& one : route.endpoints)
     {
-        if (one->expected_us() > limit && !one->is_out(now) && may_open_guard(route, now, max_share_percent))
+        if (one->expected_us() > limit && !one->is_excluded(now) &&
+            may_open_guard(route, now, max_share_percent))
         {
             one->trip(now);
             ++tripped;
@@ -202,24 +204,24 @@
     return tripped;
 }
 
-admission_view view_of(const service_route& route, time_point now, duration left)
+admission_input make_admission_input(const service_route& route, time_point now, duration left)
 {
-    admission_view view;
-    view.in_flight = route.state->in_flight.load(std::memory_order_relaxed);
-    view.max_in_flight = route.config.max_in_flight;
-    view.waiting = route.state->waiting.load(std::memory_order_relaxed);
-    view.max_waiting = route.config.max_waiting;
-    view.mean_us = route.state->mean_us();
-    view.left = left;
+    admission_input input;
+    input.in_flight = route.state->in_flight.load(std::memory_order_relaxed);
+    input.max_in_flight = route.config.max_in_flight;
+    input.waiting = route.state->waiting.load(std::memory_order_relaxed);
+    input.max_waiting = route.config.max_waiting;
+    input.mean_us = route.state->mean_us();
+    input.left = left;
     for (const endpoint_pointer& one : route.endpoints)
     {
         if (!one->leaving(now) && one->permits(now))
         {
-            ++view.usable;
-            view.slots += one->slots().granted();
+            ++input.usable;
+            input.slots += one->slots().granted();
         }
     }
-    return view;
+    return input;
 }
 
 } // namespace plumspoke::entry
--- a/src/entry/server.cpp
+++ b/src/entry/server.cpp
@@ -201,7 +201,7 @@
         }
         for (const auto& [worker, slots] : table->slots)
         {
-            released += slots->release_due(now);
+            released += slots->release_expired(now);
         }
     }
     for (; released > 0; --released)
@@ -272,7 +272,7 @@
         {
             one->trim_idle();
         }
-        guards_tripped_slow_.add(trip_slow_endpoints(row.second, now, settings_.guard_max_share_percent));
+        guards_tripped_slow_.add(exclude_slow_endpoints(row.second, now, settings_.guard_max_share_percent));
     }
 }
 
--- a/src/entry/slot_queue.cpp
+++ b/src/entry/slot_queue.cpp
@@ -21,9 +21,9 @@
     waiters_.insert(first_other, added);
 }
 
-void slot_queue::wake_first(const waiter_list::iterator& from, const void* other_than)
+void slot_queue::wake_first_waiter(const waiter_list::iterator& from, const void* other_than)
 {
-    // One that is woken already has a slot of its own to try for.
+    // A waiter that is already woken was notified of another slot.
     const auto found = std::find_if(from,
                                     waiters_.end(),
                                     [other_than](const waiter& one)
@@ -46,7 +46,7 @@
     insert(self);
     waiting_.fetch_add(1);
     critical_.fetch_add(latency_critical ? 1 : 0);
-    bool taken = try_now(); // a slot may have come free before this waiter could be seen
+    bool taken = try_now(); // a slot may have been released before this waiter was in the queue
     while (!taken)
     {
         const bool in_time = self.wake.wait_until(lock,
@@ -63,8 +63,8 @@
         }
         if (!taken)
         {
-            // The free slot was perhaps not on one of this service's workers: another service's may fit.
-            wake_first(std::next(waiter_list::s_iterator_to(self)), service);
+            // The released slot may belong to a worker of another service, so wake a waiter of another one.
+            wake_first_waiter(std::next(waiter_list::s_iterator_to(self)), service);
         }
     }
     waiters_.erase(waiter_list::s_iterator_to(self));
@@ -80,7 +80,7 @@
         return;
     }
     const std::lock_guard lock(mutex_);
-    wake_first(waiters_.begin(), nullptr);
+    wake_first_waiter(waiters_.begin(), nullptr);
 }
 
 void slot_queue::notify_all()
--- a/tests/src/unit-endpoint_connection.cpp
+++ b/tests/src/unit-endpoint_connection.cpp
@@ -74,7 +74,7 @@
     (void)!::recv(socket, bytes, sizeof bytes, 0);
 }
 
-void say(int socket, const std::string& text)
+void send_text(int socket, const std::string& text)
 {
     (void)!::send(socket, text.data(), text.size(), MSG_NOSIGNAL);
 }
@@ -114,7 +114,7 @@
                 for (const char letter :
                      std::string("HTTP/1.1 200 OK\r\nContent-Length: 5\r\nX-Mark: a\r\n\r\nhello"))
                 {
-                    say(socket, std::string(1, letter));
+                    send_text(socket, std::string(1, letter));
                 }
             });
         const exchange_result result = exchange_with(other.address());
@@ -129,14 +129,15 @@
             [](int socket)
             {
                 read_request(socket);
-                say(socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n");
+                send_text(socket,
+                          "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n");
             });
         CHECK(exchange_with(chunked.address()).answer.body == "hello");
         const fake_endpoint closing(
             [](int socket)
             {
                 read_request(socket);
-                say(socket, "HTTP/1.1 200 OK\r\n\r\nuntil the end");
+                send_text(socket, "HTTP/1.1 200 OK\r\n\r\nuntil the end");
             });
         const exchange_result result = exchange_with(closing.address());
         CHECK(result.answer.body == "until the end");
@@ -166,7 +167,7 @@
             [](int socket)
             {
                 read_request(socket);
-                say(socket, "HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\nonly this");
+                send_text(socket, "HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\nonly this");
                 wait_for_close(socket);
             });
         CHECK(exchange_with(stalling.address(), milliseconds(50)).error == errc::answer_timeout);
@@ -179,14 +180,14 @@
             [](int socket)
             {
                 read_request(socket);
-                say(socket, "HTTP/1.1 200 OK\r\nContent-Le");
+                send_text(socket, "HTTP/1.1 200 OK\r\nContent-Le");
             });
         CHECK(exchange_with(within.address()).error == errc::truncated_answer);
         const fake_endpoint after(
             [](int socket)
             {
                 read_request(socket);
-                say(socket, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhel");
+                send_text(socket, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhel");
             });
         const exchange_result result = exchange_with(after.address());
         CHECK(result.error == errc::truncated_answer);
@@ -212,14 +213,14 @@
             [](int socket)
             {
                 read_request(socket);
-                say(socket, "220 smtp.example ready\r\n\r\n");
+                send_text(socket, "220 smtp.example ready\r\n\r\n");
             });
         CHECK(exchange_with(garbage.address()).error == errc::garbled_answer);
         const fake_endpoint large(
             [](int socket)
             {
                 read_request(socket);
-                say(socket, "HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n\r\n" + std::string(5000, 'x'));
+                send_text(socket, "HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n\r\n" + std::string(5000, 'x'));
             });
         CHECK(exchange_with(large.address()).error.message() ==
               make_error_code(errc::answer_too_large).message());
@@ -231,7 +232,7 @@
             {
                 read_request(socket);
                 const std::string answer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi";
-                say(socket, answer + answer);
+                send_text(socket, answer + answer);
                 wait_for_close(socket);
             });
         const exchange_result result = exchange_with(twice.address());
@@ -244,10 +245,10 @@
             [](int socket)
             {
                 read_request(socket);
-                say(socket, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi");
+                send_text(socket, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi");
                 char byte = 0;
                 (void)!::recv(socket, &byte, 1, MSG_PEEK); // until the test goes on
-                say(socket, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate");
+                send_text(socket, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate");
                 wait_for_close(socket);
             });
         connection self;
@@ -255,7 +256,7 @@
         REQUIRE_FALSE(self.connect(late.address(), deadline));
         const exchange_result first = self.exchange("GET / HTTP/1.1\r\n\r\n", deadline, max_answer);
         CHECK(first.reusable);
-        CHECK(self.idle_and_open());
+        CHECK(self.is_idle_and_open());
         // The second request pokes the endpoint, which answers the first one once more.
         const exchange_result second = self.exchange("GET /2 HTTP/1.1\r\n\r\n", deadline, max_answer);
         CHECK(second.answer.body == "late"); // an entry refuses it by its request's name: see whole_path
--- a/tests/src/unit-entry_decisions.cpp
+++ b/tests/src/unit-entry_decisions.cpp
@@ -14,17 +14,17 @@
 const time_point start = from_microseconds(3'600'000'000);
 const time_point deadline = start + seconds(1);
 
-attempt_end never_sent()
+attempt_result never_sent()
 {
     return {endpoint::progress::nothing_sent, endpoint::errc::connect_refused, 0, false};
 }
 
-attempt_end lost_on_the_way()
+attempt_result lost_on_the_way()
 {
     return {endpoint::progress::sent, endpoint::errc::closed_before_answer, 0, false};
 }
 
-attempt_end answered(int status, bool refused = false)
+attempt_result answered(int status, bool refused = false)
 {
     return {endpoint::progress::answered, {}, status, refused};
 }
@@ -54,63 +54,64 @@
     {
         request_flow flow(true, 3, deadline);
         flow.begin_attempt();
-        const verdict decided = flow.after(start, answered(404), budget);
-        REQUIRE(std::holds_alternative<pass_on>(decided));
-        CHECK(std::get<pass_on>(decided).told == outcome::done);
+        const retry_decision decided = flow.decide(start, answered(404), budget);
+        REQUIRE(std::holds_alternative<forward_answer>(decided));
+        CHECK(std::get<forward_answer>(decided).reported == outcome::done);
     }
     SECTION("an unsafe request that never left is sent again, and is not run if that ends")
     {
         request_flow flow(false, 2, deadline);
         flow.begin_attempt();
-        CHECK(std::holds_alternative<send_again>(flow.after(start, never_sent(), budget)));
+        CHECK(std::holds_alternative<retry_attempt>(flow.decide(start, never_sent(), budget)));
         flow.begin_attempt();
-        const verdict decided = flow.after(start, never_sent(), budget);
-        REQUIRE(std::holds_alternative<give_up>(decided));
-        CHECK(std::get<give_up>(decided).told == outcome::not_run);
-        CHECK(std::get<give_up>(decided).reason == refusal::attempts_used_up);
+        const retry_decision decided = flow.decide(start, never_sent(), budget);
+        REQUIRE(std::holds_alternative<abandon_request>(decided));
+        CHECK(std::get<abandon_request>(decided).reported == outcome::not_run);
+        CHECK(std::get<abandon_request>(decided).reason == refusal::attempts_used_up);
     }
     SECTION("an unsafe request that left is never sent again, and its outcome is unknown")
     {
         request_flow flow(false, 3, deadline);
         flow.begin_attempt();
-        const verdict decided = flow.after(start, lost_on_the_way(), budget);
-        REQUIRE(std::holds_alternative<give_up>(decided));
-        CHECK(std::get<give_up>(decided).told == outcome::unknown);
-        CHECK(std::get<give_up>(decided).reason == refusal::unsafe_not_repeated);
+        const retry_decision decided = flow.decide(start, lost_on_the_way(), budget);
+        REQUIRE(std::holds_alternative<abandon_request>(decided));
+        CHECK(std::get<abandon_request>(decided).reported == outcome::unknown);
+        CHECK(std::get<abandon_request>(decided).reason == refusal::unsafe_not_repeated);
     }
     SECTION("the endpoint's own refusal is proof that an unsafe request did not run")
     {
         request_flow flow(false, 3, deadline);
         flow.begin_attempt();
-        CHECK(std::holds_alternative<send_again>(flow.after(start, answered(503, true), budget)));
-        CHECK(flow.told_if_given_up() == outcome::not_run);
+        CHECK(std::holds_alternative<retry_attempt>(flow.decide(start, answered(503, true), budget)));
+        CHECK(flow.outcome_if_abandoned() == outcome::not_run);
     }
     SECTION("a safe request that left once may have run, even if the next attempt never left")
     {
         request_flow flow(true, 2, deadline);
         flow.begin_attempt();
-        CHECK(std::holds_alternative<send_again>(flow.after(start, lost_on_the_way(), budget)));
+        CHECK(std::holds_alternative<retry_attempt>(flow.decide(start, lost_on_the_way(), budget)));
         flow.begin_attempt();
-        CHECK(std::get<give_up>(flow.after(start, never_sent(), budget)).told == outcome::unknown);
+        CHECK(std::get<abandon_request>(flow.decide(start, never_sent(), budget)).reported ==
+              outcome::unknown);
     }
     SECTION("a server error that may not be repeated is passed on as it is")
     {
         request_flow flow(false, 3, deadline);
         flow.begin_attempt();
-        const verdict decided = flow.after(start, answered(500), budget);
-        REQUIRE(std::holds_alternative<pass_on>(decided));
-        CHECK(std::get<pass_on>(decided).told == outcome::unknown);
+        const retry_decision decided = flow.decide(start, answered(500), budget);
+        REQUIRE(std::holds_alternative<forward_answer>(decided));
+        CHECK(std::get<forward_answer>(decided).reported == outcome::unknown);
     }
     SECTION("nothing is sent past the deadline or past the budget")
     {
         request_flow late(true, 3, deadline);
         late.begin_attempt();
-        CHECK(std::get<give_up>(late.after(deadline, never_sent(), budget)).reason ==
+        CHECK(std::get<abandon_request>(late.decide(deadline, never_sent(), budget)).reason ==
               refusal::deadline_passed);
         retry_budget empty(10, 0);
         request_flow flow(true, 3, deadline);
         flow.begin_attempt();
-        CHECK(std::get<give_up>(flow.after(start, never_sent(), empty)).reason ==
+        CHECK(std::get<abandon_request>(flow.decide(start, never_sent(), empty)).reason ==
               refusal::retry_budget_empty);
     }
 }
@@ -118,64 +119,64 @@
 TEST_CASE("a retry budget earns a share of the requests and no more than its reserve")
 {
     retry_budget budget(10, 2);
-    CHECK(budget.take());
-    CHECK(budget.take());
-    CHECK_FALSE(budget.take());
+    CHECK(budget.try_consume());
+    CHECK(budget.try_consume());
+    CHECK_FALSE(budget.try_consume());
     for (int i = 0; i < 9; ++i)
     {
         budget.note_request();
     }
-    CHECK_FALSE(budget.take());
+    CHECK_FALSE(budget.try_consume());
     budget.note_request();
-    CHECK(budget.take());
+    CHECK(budget.try_consume());
     for (int i = 0; i < 1000; ++i)
     {
         budget.note_request();
     }
-    CHECK(budget.take());
-    CHECK(budget.take());
-    CHECK_FALSE(budget.take());
+    CHECK(budget.try_consume());
+    CHECK(budget.try_consume());
+    CHECK_FALSE(budget.try_consume());
 }
 
 TEST_CASE("admission")
 {
-    admission_view view;
-    view.slots = 8;
-    view.usable = 2;
-    view.max_waiting = 10;
-    view.mean_us = 10'000;
-    view.left = milliseconds(100);
+    admission_input input;
+    input.slots = 8;
+    input.usable = 2;
+    input.max_waiting = 10;
+    input.mean_us = 10'000;
+    input.left = milliseconds(100);
 
     SECTION("lets through what can be done")
     {
-        CHECK_FALSE(admit(view).has_value());
+        CHECK_FALSE(admit(input).has_value());
     }
     SECTION("refuses at once what would be late, with when to come back")
     {
-        view.waiting = 9;
-        view.mean_us = 80'000;
-        const auto refused = admit(view);
+        input.waiting = 9;
+        input.mean_us = 80'000;
+        const auto refused = admit(input);
         REQUIRE(refused.has_value());
         CHECK(refused->reason == refusal::cannot_meet_deadline);
         CHECK(refused->retry_after == milliseconds(100));
     }
     SECTION("bounds the queue")
     {
-        view.waiting = 10;
-        CHECK(admit(view)->reason == refusal::queue_full);
+        input.waiting = 10;
+        CHECK(admit(input)->reason == refusal::queue_full);
     }
     SECTION("holds the quota")
     {
-        view.max_in_flight = 5;
-        view.in_flight = 5;
-        CHECK(admit(view)->reason == refusal::over_quota);
+        input.max_in_flight = 5;
+        input.in_flight = 5;
+        CHECK(admit(input)->reason == refusal::over_quota);
     }
     SECTION("says what is missing")
     {
-        view.slots = 0;
-        CHECK(admit(view)->reason == refusal::no_slots);
-        view.usable = 0;
-        CHECK(admit(view)->reason == refusal::no_endpoint);
+        input.slots = 0;
+        CHECK(admit(input)->reason == refusal::no_slots);
+        input.usable = 0;
+        CHECK(admit(input)->reason == refusal::no_endpoint);
     }
 }
 
@@ -263,7 +264,7 @@
         {
             route.endpoints[0]->note_failure(start, may_open_guard(route, start, 50));
         }
-        CHECK(route.endpoints[0]->is_out(start));
+        CHECK(route.endpoints[0]->is_excluded(start));
         CHECK(may_open_guard(route, start, 50));
         CHECK_FALSE(may_open_guard(route, start, 25));
         CHECK(choose_endpoint(route, "near", start, 0, {}) != route.endpoints[0]);
@@ -275,8 +276,8 @@
             route.endpoints[static_cast<std::size_t>(i)]->note_success(i == 2 ? seconds(1)
                                                                               : milliseconds(10));
         }
-        CHECK(trip_slow_endpoints(route, start, 50) == 1);
-        CHECK(route.endpoints[2]->is_out(start));
+        CHECK(exclude_slow_endpoints(route, start, 50) == 1);
+        CHECK(route.endpoints[2]->is_excluded(start));
     }
     SECTION("keeps what it knows of an endpoint over a change of configuration")
     {
@@ -305,10 +306,10 @@
     SECTION("an abandoned request keeps its slot until it has surely ended")
     {
         // Regression: an endpoint that hangs was given the next request into the same slot.
-        slots.release_later(start + seconds(1));
-        CHECK(slots.release_due(start) == 0);
+        slots.schedule_release(start + seconds(1));
+        CHECK(slots.release_expired(start) == 0);
         CHECK_FALSE(slots.acquire());
-        CHECK(slots.release_due(start + seconds(1)) == 1);
+        CHECK(slots.release_expired(start + seconds(1)) == 1);
         CHECK(slots.acquire());
     }
 }
--- a/tests/world/entry.cpp
+++ b/tests/world/entry.cpp
@@ -71,7 +71,7 @@
     {
         for (const auto& [name, slots] : table_->slots)
         {
-            (void)slots->release_due(now());
+            (void)slots->release_expired(now());
         }
     }
     if (now() >= next_report_)
@@ -269,7 +269,7 @@
     const entry::service_route* route = table_ == nullptr ? nullptr : table_->find(live->asked.service);
     if (route == nullptr || !serving() || now() >= live->flow->deadline())
     {
-        answer(live, live->flow->told_if_given_up());
+        answer(live, live->flow->outcome_if_abandoned());
         return;
     }
     const entry::endpoint_pointer target =
@@ -308,7 +308,7 @@
                                                 return; // late: its connection is closed
                                             }
                                             *ended = true;
-                                            entry::attempt_end end;
+                                            entry::attempt_result end;
                                             end.reached = endpoint::progress::answered;
                                             end.status = status;
                                             end_attempt(live, target, end);
@@ -322,7 +322,7 @@
                             }
                             *ended = true;
                             *abandoned = true;
-                            entry::attempt_end end;
+                            entry::attempt_result end;
                             end.reached = endpoint::progress::sent;
                             end.error = endpoint::errc::closed_before_answer;
                             end_attempt(live, target, end);
@@ -353,7 +353,7 @@
                   }
                   *ended = true;
                   *abandoned = true;
-                  entry::attempt_end end;
+                  entry::attempt_result end;
                   end.reached = endpoint::progress::sent;
                   end.error = endpoint::errc::answer_timeout;
                   end_attempt(live, target, end);
@@ -362,7 +362,7 @@
 
 void entry_vm::end_attempt(const std::shared_ptr<live_call>& live,
                            const entry::endpoint_pointer& target,
-                           const entry::attempt_end& end)
+                           const entry::attempt_result& end)
 {
     if (live->life != life)
     {
@@ -370,7 +370,7 @@
     }
     if (end.error)
     {
-        target->slots().release_later(now() + 2 * live->asked.deadline);
+        target->slots().schedule_release(now() + 2 * live->asked.deadline);
         target->note_failure(now(), true);
     }
     else
@@ -378,19 +378,19 @@
         target->slots().release();
         target->note_success(milliseconds(20));
     }
-    const entry::verdict decided = live->flow->after(now(), end, live->state->budget());
-    if (std::holds_alternative<entry::send_again>(decided))
+    const entry::retry_decision decided = live->flow->decide(now(), end, live->state->budget());
+    if (std::holds_alternative<entry::retry_attempt>(decided))
     {
         live->tried.push_back(target.get());
         attempt(live);
         return;
     }
-    if (const auto* passed = std::get_if<entry::pass_on>(&decided))
+    if (const auto* passed = std::get_if<entry::forward_answer>(&decided))
     {
-        answer(live, passed->told);
+        answer(live, passed->reported);
         return;
     }
-    answer(live, std::get<entry::give_up>(decided).told);
+    answer(live, std::get<entry::abandon_request>(decided).reported);
 }
 
 void entry_vm::record_claim(const std::shared_ptr<live_call>& live, entry::outcome told)
--- a/tests/world/world.hpp
+++ b/tests/world/world.hpp
@@ -413,7 +413,7 @@
                   const std::shared_ptr<bool>& ended);
     void end_attempt(const std::shared_ptr<live_call>& live,
                      const entry::endpoint_pointer& target,
-                     const entry::attempt_end& end);
+                     const entry::attempt_result& end);
     void answer(const std::shared_ptr<live_call>& live, entry::outcome told);
     void record_claim(const std::shared_ptr<live_call>& live, entry::outcome told);
 
