--- a/include/plumspoke/endpoint/connection.hpp
+++ b/include/plumspoke/endpoint/connection.hpp
@@ -1,10 +1,10 @@
 #pragma once
 
 /// @file
-/// @brief One TCP connection to an endpoint, one exchange at a time, each wait bounded by a deadline.
+/// @brief A TCP connection to an endpoint: one HTTP exchange at a time, every wait bounded by a deadline.
 ///
-/// CivetWeb's client is not used here: it has no limit for a body that stalls (docs/DECISIONS.md).
-/// The parser is Boost.Beast's.
+/// CivetWeb's client is not used, since it has no timeout for a stalled body (docs/DECISIONS.md).
+/// Answers are parsed by Boost.Beast.
 
 #include "plumspoke/endpoint/error.hpp"
 #include "plumspoke/http/message.hpp"
@@ -16,15 +16,15 @@
 namespace plumspoke::endpoint
 {
 
-/// @brief How far a request got; decides what may be said of it.
+/// @brief How far an exchange got; determines which outcome may be reported.
 enum class progress : std::uint8_t
 {
-    nothing_sent, // proof that it did not run
-    sent,         // some of it left this machine; it may run
-    answered,     // a whole answer came
+    nothing_sent, // the request certainly did not run
+    sent,         // part of the request was written to the socket; it may run
+    answered,     // a complete answer was received
 };
 
-/// @brief What became of an exchange.
+/// @brief Result of an exchange.
 struct exchange_result
 {
     std::error_code error;
@@ -33,7 +33,7 @@
     bool reusable = false;
 };
 
-/// @brief A connection; closed by its destructor.
+/// @brief A client connection, closed by the destructor.
 class connection : public boost::intrusive::list_base_hook<>
 {
   public:
@@ -42,16 +42,18 @@
     connection& operator=(const connection&) = delete;
     ~connection();
 
-    /// @brief Connects to IP:PORT.
+    /// @brief Connects to `address`, an IPv4 address and port as IP:PORT.
+    /// @return bad_address, connect_refused or connect_timeout on failure
     [[nodiscard]] std::error_code connect(const std::string& address, time_point deadline);
 
-    /// @brief Sends a whole request and reads a whole answer.
-    /// @note After an error, or where the result is not reusable, the connection must be closed: an answer
-    ///       that comes late must never meet another request.
+    /// @brief Sends a complete request and reads the complete answer.
+    /// @param max_answer limit of the answer's body, in bytes
+    /// @note After an error, or if the result is not reusable, the connection must be closed, so that a late
+    ///       answer is never matched to another request.
     [[nodiscard]] exchange_result
     exchange(std::string_view request, time_point deadline, std::size_t max_answer);
 
-    /// @brief Whether an idle connection is still open and silent.
+    /// @brief Whether an idle connection is still open and has no unread data.
     [[nodiscard]] bool is_idle_and_open() const noexcept;
 
     [[nodiscard]] time_point idle_since() const noexcept
@@ -68,7 +70,7 @@
     write_all(std::string_view request, time_point deadline, progress& reached) const;
 
     int socket_ = -1;
-    bool answer_pending_ = false; // a request was sent whose whole answer has not come
+    bool answer_pending_ = false; // a request was started and its complete answer not yet received
     time_point idle_since_{};
 };
 
--- a/include/plumspoke/endpoint/error.hpp
+++ b/include/plumspoke/endpoint/error.hpp
@@ -1,14 +1,14 @@
 #pragma once
 
 /// @file
-/// @brief Errors of the endpoint layer: ids 700 to 799.
+/// @brief Error codes of the endpoint layer: 700 to 799.
 
 #include "plumspoke/error/category.hpp"
 
 namespace plumspoke::endpoint
 {
 
-/// @brief How an exchange with an endpoint can go wrong.
+/// @brief Errors of an exchange with an endpoint.
 enum class errc : std::uint16_t
 {
     connect_refused = 700,
--- a/include/plumspoke/endpoint/guard.hpp
+++ b/include/plumspoke/endpoint/guard.hpp
@@ -1,22 +1,23 @@
 #pragma once
 
 /// @file
-/// @brief A circuit breaker for one endpoint: decisions only, times are handed in.
+/// @brief A circuit breaker for one endpoint. Reads no clock: the current time is a parameter.
 
 #include "plumspoke/time/time.hpp"
 
 namespace plumspoke::endpoint
 {
 
-/// @brief Bounds of a guard.
+/// @brief Options of a guard.
 struct guard_options
 {
-    int failures = 5;                       // in a row
-    duration open_for = milliseconds(1000); // at first; doubles with each failed trial
-    int max_doublings = 5;                  // up to 2^5 times the first
+    int failures = 5;                       // consecutive failures that open the guard
+    duration open_for = milliseconds(1000); // first open time; doubles with each failed trial
+    int max_doublings = 5;                  // limits the open time to 2^5 times the first
 };
 
-/// @brief Closed: all pass. Open: none pass until the time is over. Then one trial decides.
+/// @brief Circuit breaker. Closed: all requests pass. Open: none pass until the open time has elapsed. Trial:
+///        one request passes, and its result closes or reopens the guard.
 class guard
 {
   public:
@@ -31,18 +32,18 @@
     {
     }
 
-    /// @brief Whether a request may be sent now. Where it is the trial, others wait for its end.
+    /// @brief Whether a request may be sent now. While a trial is running, no other request may.
     [[nodiscard]] bool permits(time_point now) const noexcept;
 
-    /// @brief A request is sent; after an open time this begins the trial.
+    /// @brief Records that a request is sent; starts the trial if the open time has elapsed.
     void note_sent(time_point now) noexcept;
 
     void note_success() noexcept;
 
-    /// @param may_open false where the service's share of open guards is used up
+    /// @param may_open false if the limit of open guards of the service is reached
     void note_failure(time_point now, bool may_open) noexcept;
 
-    /// @brief Opens for slowness against peers.
+    /// @brief Opens a closed guard, because the endpoint is slow compared to its peers.
     void trip(time_point now) noexcept;
 
     [[nodiscard]] state current() const noexcept
--- a/include/plumspoke/entry/rcu.hpp
+++ b/include/plumspoke/entry/rcu.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief Read-copy-update for one immutable object (liburcu, the memb flavour).
+/// @brief Read-copy-update (RCU) of one immutable object, using the memb flavour of liburcu.
 
 #include <atomic>
 #include <memory>
@@ -12,8 +12,8 @@
 namespace plumspoke::entry
 {
 
-/// @brief A read-side section. The thread must be registered with urcu_memb.
-/// @note Never held over I/O or a wait: a writer waits for its end.
+/// @brief RAII guard of an RCU read-side critical section. The thread must be registered with urcu_memb.
+/// @note Must not be held during I/O or a wait, since writers wait for its end.
 class rcu_read_section
 {
   public:
@@ -29,7 +29,7 @@
     }
 };
 
-/// @brief Holds the current object; readers see one version whole, writers replace it.
+/// @brief Holds the current object; readers see a consistent version, writers replace it.
 template <typename Object> class rcu_cell
 {
   public:
@@ -41,14 +41,14 @@
         delete current_.load();
     }
 
-    /// @brief The current object, or null; valid within the section only.
+    /// @brief Returns the current object, or null; valid only within the section.
     [[nodiscard]] const Object* read(const rcu_read_section& /*section*/) const noexcept
     {
         return current_.load(std::memory_order_acquire);
     }
 
-    /// @brief Puts a new object in place, waits for readers of the old one, and frees it.
-    /// @note One writer at a time; not from within a read section.
+    /// @brief Publishes a new object, waits for readers of the old one and deletes the old one.
+    /// @note Calls must be serialized, and must not be made within a read section.
     void publish(std::unique_ptr<const Object> next)
     {
         const std::unique_ptr<const Object> old(current_.exchange(next.release(), std::memory_order_acq_rel));
--- a/include/plumspoke/entry/reason.hpp
+++ b/include/plumspoke/entry/reason.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief What an entry says of a request, and why it refuses or repeats one. Each reason has a counter.
+/// @brief Request outcomes, and reasons for refusals and retries. Each reason has a counter.
 
 #include <array>
 #include <cstdint>
@@ -10,40 +10,40 @@
 namespace plumspoke::entry
 {
 
-/// @brief What a caller is told of its request.
+/// @brief Outcome of a request as reported to the caller.
 enum class outcome : std::uint8_t
 {
-    done,    // a whole answer of the endpoint, not a server error
-    not_run, // proof that it did not run
+    done,    // the endpoint answered completely, without a server error
+    not_run, // it certainly did not run
     unknown, // it may have run
 };
 inline constexpr std::size_t outcome_count = 3;
 [[nodiscard]] std::string_view to_string(outcome value) noexcept;
 
-/// @brief Why a request was refused or given up on.
+/// @brief Why a request was refused or abandoned.
 enum class refusal : std::uint8_t
 {
     unknown_service,
     not_serving, // no lease from control
-    draining,    // a planned stop
-    over_quota,  // the service's quota of requests in flight
-    queue_full,  // too many wait already
+    draining,    // the entry is stopping
+    over_quota,  // the service's limit of requests in flight is reached
+    queue_full,  // the service's limit of waiting requests is reached
     cannot_meet_deadline,
-    no_slots,    // control has granted this entry none
-    no_endpoint, // all are leaving or taken out by guards
+    no_slots,    // control has granted this entry no slots
+    no_endpoint, // all endpoints are leaving or excluded by their guards
     deadline_passed,
     attempts_used_up,
     retry_budget_empty,
-    unsafe_not_repeated, // it may have run, so it is not sent again
+    unsafe_not_repeated, // an unsafe request may have run, so it is not retried
     claim_in_progress,
     claim_mismatch,
     claim_unknown,
-    claim_not_possible, // control can't be asked now
+    claim_not_possible, // control is unavailable or refused the claim
 };
 inline constexpr std::size_t refusal_count = 16;
 [[nodiscard]] std::string_view to_string(refusal value) noexcept;
 
-/// @brief Why a request was sent again.
+/// @brief Why a request was retried.
 enum class retry_reason : std::uint8_t
 {
     connect_refused,
--- a/include/plumspoke/entry/server.hpp
+++ b/include/plumspoke/entry/server.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief The entry role's shell: callers' HTTP, calls to endpoints, reports to control.
+/// @brief The entry server: serves callers over HTTP, calls endpoints and reports to control.
 
 #include "plumspoke/entry/control_client.hpp"
 #include "plumspoke/entry/rcu.hpp"
@@ -14,7 +14,7 @@
 namespace plumspoke::entry
 {
 
-/// @brief A request on its way, with all that its decisions need.
+/// @brief State of one request while it is handled.
 struct call_context;
 
 /// @brief One entry process.
@@ -30,7 +30,8 @@
 
     [[nodiscard]] std::error_code start();
 
-    /// @brief A planned stop: readiness off, what is in flight ends whole, slots are given back.
+    /// @brief Graceful stop: turns readiness off, completes requests in flight and returns all slots to
+    /// control.
     void stop();
     /// @}
 
@@ -38,7 +39,7 @@
     [[nodiscard]] http::response answer(const http::request& received);
 
   private:
-    // ---- a request's path
+    // ---- request handling
     [[nodiscard]] http::response answer_call(const http::request& received, std::string_view service);
     [[nodiscard]] http::response process_call(call_context& call);
     [[nodiscard]] http::response process_claimed_call(call_context& call);
@@ -66,7 +67,7 @@
     [[nodiscard]] control::entry_report make_report();
     void drain();
 
-    // ---- pages
+    // ---- administration pages
     [[nodiscard]] http::response admin_page(const http::request& received);
     [[nodiscard]] std::string metrics_text();
 
@@ -83,12 +84,12 @@
     std::atomic<std::uint64_t> next_request_{1};
     std::atomic<std::uint64_t> version_{0};
 
-    std::mutex writer_mutex_; // one writer of the table at a time
+    std::mutex writer_mutex_; // serializes changes of the route table
     control::configuration config_;
     std::set<std::string> leaving_;
     std::uint64_t report_sequence_ = 0;
 
-    std::array<metrics::counter, refusal_count> refusals_; // of requests that belong to no service
+    std::array<metrics::counter, refusal_count> refusals_; // of requests for no known service
     metrics::counter reports_answered_;
     metrics::counter reports_unanswered_;
     metrics::counter guards_tripped_slow_;
--- a/src/endpoint/connection.cpp
+++ b/src/endpoint/connection.cpp
@@ -48,7 +48,7 @@
            inet_pton(AF_INET, address.substr(0, colon).c_str(), &result.sin_addr) == 1;
 }
 
-/// Waits for a socket; false where the deadline came first.
+/// Waits until the socket is ready; returns false on the deadline or a poll error.
 bool wait_for(int socket, short events, time_point deadline)
 {
     while (true)
@@ -112,7 +112,7 @@
     return errc::garbled_answer;
 }
 
-/// Feeds what arrived to the parser; true once the answer is whole.
+/// Parses the buffered data; returns true once the answer is complete.
 bool feed(answer_parser& parser, std::string& buffer, std::error_code& error)
 {
     while (!buffer.empty() && !parser.is_done())
@@ -141,7 +141,7 @@
     {
         if (answer_pending_)
         {
-            // An abandoned request: a reset tells the endpoint, and drops what has not left this machine.
+            // Abandoned request: a reset notifies the endpoint and discards unsent data.
             const linger reset{1, 0};
             ::setsockopt(socket_, SOL_SOCKET, SO_LINGER, &reset, sizeof reset);
         }
@@ -227,13 +227,13 @@
     parser.body_limit(max_answer);
     parser.header_limit(max_answer_header);
     parser.eager(true);
-    parser.skip(request.starts_with("HEAD ")); // its answer has a length and no body
+    parser.skip(request.starts_with("HEAD ")); // the answer to HEAD may have a Content-Length but has no body
     std::string buffer;
     std::array<char, read_chunk> chunk{};
     bool anything_read = false;
     while (true)
     {
-        if (!wait_for(socket_, POLLIN, deadline)) // first: an answer is never there at once
+        if (!wait_for(socket_, POLLIN, deadline)) // poll first: the answer is never available immediately
         {
             result.error = errc::answer_timeout;
             return result;
@@ -248,7 +248,7 @@
             beast::error_code failed;
             if (count == 0 && anything_read && !parser.is_done())
             {
-                parser.put_eof(failed); // whole only where the answer's end is the connection's end
+                parser.put_eof(failed); // complete only if the body is delimited by the end of the connection
             }
             if (count == 0 && anything_read && !failed && parser.is_done())
             {
@@ -265,7 +265,7 @@
         const bool whole = feed(parser, buffer, result.error);
         if (parser.get().body().size() > max_answer || parser.content_length().value_or(0) > max_answer)
         {
-            // Beast's own limit let a body through that came together with its header (1.74).
+            // Boost.Beast 1.74 does not apply its body limit to a body that arrives together with the header.
             result.error = errc::answer_too_large;
             return result;
         }
@@ -273,7 +273,7 @@
         {
             take_answer(parser, result);
             answer_pending_ = false;
-            result.reusable = result.reusable && buffer.empty(); // more than was asked for: never reused
+            result.reusable = result.reusable && buffer.empty(); // unsolicited data follows: never reuse
             return result;
         }
         if (result.error)
--- a/src/endpoint/guard.cpp
+++ b/src/endpoint/guard.cpp
@@ -14,7 +14,7 @@
     case state::open:
         return now >= open_until_;
     case state::trial:
-        // A trial that never ended must not keep the endpoint out for good.
+        // A trial that never ends must not exclude the endpoint forever.
         return now >= trial_since_ + options_.open_for;
     }
     return true;
--- a/src/entry/call.cpp
+++ b/src/entry/call.cpp
@@ -1,4 +1,4 @@
-// A request's path through an entry: classify, admit, choose, call, repeat where that is allowed, answer.
+// Request handling in an entry: classification, admission, endpoint choice, attempts, retries and the answer.
 
 #include "call_context.hpp"
 #include "plumspoke/error/invariant.hpp"
@@ -21,21 +21,21 @@
 constexpr auto leaving_report_lifetime = seconds(30);
 constexpr auto min_retry_after = milliseconds(100);
 
-/// A thread's own random numbers.
+/// Draws from a thread-local generator.
 std::uint64_t random_number()
 {
     thread_local std::mt19937_64 generator{std::random_device{}()};
     return generator();
 }
 
-/// The service is the first part of the path; the rest is the endpoint's.
+/// The first path segment names the service; the rest is passed to the endpoint.
 std::string_view service_of(std::string_view path)
 {
     path.remove_prefix(std::min<std::size_t>(1, path.size()));
     return path.substr(0, path.find('/'));
 }
 
-/// The caller may ask for less time than the service gives, never for more.
+/// A caller may shorten the service's deadline, never extend it.
 duration deadline_of(const control::service_config& config, const http::request& received)
 {
     const duration longest = milliseconds(config.answer_within_ms);
@@ -126,7 +126,7 @@
     return attempt_loop(call);
 }
 
-/// An unsafe request under a key: claimed first, so that the key is sent once whichever entry it comes by.
+/// Claims the idempotency key of an unsafe request first, so that it is sent once across all entries.
 http::response server::process_claimed_call(call_context& call)
 {
     claim_request asked;
@@ -176,7 +176,8 @@
         ended.content_type = result.content_type;
         ended.body = result.body;
     }
-    // The caller's answer does not wait longer for this than its deadline; an unrecorded claim stays claimed.
+    // Recording may delay the answer until the deadline, or by 500 ms if that is later. A claim whose outcome
+    // is not recorded stays claimed.
     const time_point limit =
         std::max(call.flow->deadline(), std::chrono::steady_clock::now() + milliseconds(500));
     (void)control_.record(ended, limit);
@@ -251,8 +252,8 @@
     std::unique_ptr<endpoint::connection> connection;
     if (call.safe)
     {
-        // An unsafe request has a connection of its own: a kept one that the endpoint has just closed would
-        // leave in doubt whether the request ran.
+        // Unsafe requests use a new connection: if the endpoint had just closed a reused one, it would be
+        // unknown whether the request ran.
         connection = target.take_idle(now, milliseconds(settings_.endpoint_idle_ms));
     }
     if (connection == nullptr)
@@ -286,7 +287,7 @@
     const std::string_view echoed = http::find_header(result.answer.headers, "Plumspoke-Request");
     if (!result.error && !echoed.empty() && echoed != id)
     {
-        result.error = endpoint::errc::garbled_answer; // another request's answer: never passed on
+        result.error = endpoint::errc::garbled_answer; // answer to another request: never forwarded
         result.reached = endpoint::progress::sent;
         return result;
     }
@@ -335,7 +336,7 @@
         const time_point began = std::chrono::steady_clock::now();
         if (!serving(began))
         {
-            target->slots().release(); // the lease ran out while it waited
+            target->slots().release(); // the lease expired while the request waited
             return refuse(call, refusal::not_serving, call.flow->outcome_if_abandoned(), seconds(1));
         }
         error::check_invariant(error::invariant::leaving_gets_no_work,
@@ -347,7 +348,8 @@
         endpoint::exchange_result result = attempt(call, *target);
         if (result.error && result.reached == endpoint::progress::sent)
         {
-            // The endpoint may go on with it for as long as an answer may take: its slot is not free yet.
+            // The endpoint may still process the request, so its slot is released only after twice the
+            // longest answer time.
             target->slots().schedule_release(std::chrono::steady_clock::now() + 2 * call.longest);
         }
         else
--- a/src/entry/call_context.cpp
+++ b/src/entry/call_context.cpp
@@ -13,7 +13,8 @@
     longest = milliseconds(route.config.answer_within_ms);
     latency_critical = route.config.latency_critical;
     const bool marked_unsafe = !http::find_header(received.headers, "Plumspoke-Unsafe").empty();
-    safe = route.config.safe_to_repeat && !marked_unsafe; // a caller can only make it stricter
+    safe =
+        route.config.safe_to_repeat && !marked_unsafe; // a caller can mark a request as unsafe, never as safe
     key = http::find_header(received.headers, "Idempotency-Key");
     rest = received.path.substr(std::min(received.path.size(), service.size() + 1));
     rest = rest.empty() ? "/" : rest;
@@ -50,7 +51,7 @@
     nlohmann::json body = {{"outcome", to_string(reported_outcome)}, {"reason", reason_text}};
     if (retry_after.count() > 0)
     {
-        // Retry-After counts whole seconds; the body is exact.
+        // Retry-After has a resolution of one second; the body gives milliseconds.
         answer.headers.push_back(
             {"Retry-After", std::to_string(std::chrono::ceil<seconds>(retry_after).count())});
         body["retry_after_ms"] = std::chrono::ceil<milliseconds>(retry_after).count();
--- a/src/entry/call_context.hpp
+++ b/src/entry/call_context.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-// One request on its way through an entry.
+// State of one request while an entry handles it.
 
 #include "plumspoke/entry/server.hpp"
 
@@ -11,20 +11,21 @@
 
 struct call_context
 {
-    static constexpr std::size_t max_recorded_body = 64 * 1024; // of an answer that a claim keeps
+    static constexpr std::size_t max_recorded_body =
+        64 * 1024; // bytes of an answer's body that are stored with a claim
 
     call_context(const http::request& request, time_point now, std::uint64_t request_number)
         : received(request), started(now), number(request_number)
     {
     }
 
-    /// Copies what is needed from a route, so that the read section can end.
+    /// Copies the needed data from a route, so that the RCU read section can end.
     void take(const service_route& route, duration within, int max_attempts);
 
-    /// What two sendings of one request have in common.
+    /// Hash of method, path, query and body; equal for repetitions of the same request.
     [[nodiscard]] std::string digest() const;
 
-    /// A name for this request that its endpoint may echo.
+    /// Unique request id, which the endpoint may echo.
     [[nodiscard]] std::string id(const std::string& entry, const std::string& incarnation) const;
 
     [[nodiscard]] http::response
@@ -34,15 +35,15 @@
     time_point started;
     std::uint64_t number;
     std::string service;
-    std::string rest; // the endpoint's path and query
+    std::string rest; // path and query sent to the endpoint
     std::string key;
     service_pointer state;
     bool safe = false;
-    duration longest{}; // that an answer of the service may take
+    duration longest{}; // time limit of the service for an answer
     bool latency_critical = true;
     std::optional<request_flow> flow;
     std::vector<const endpoint_state*> tried;
-    std::vector<endpoint_pointer> tried_owners; // keeps what `tried` points to
+    std::vector<endpoint_pointer> tried_owners; // keeps the objects in `tried` alive
     outcome reported = outcome::not_run;
 };
 
--- a/src/entry/pages.cpp
+++ b/src/entry/pages.cpp
@@ -1,4 +1,4 @@
-// The entry's own pages: readiness, status, counters.
+// Administration pages of an entry: liveness, readiness, status and metrics.
 
 #include "plumspoke/entry/server.hpp"
 
--- a/src/entry/server.cpp
+++ b/src/entry/server.cpp
@@ -16,7 +16,7 @@
 {
 
 constexpr const char* part = "entry";
-constexpr auto lame_duck = milliseconds(500); // readiness is off this long before the listener may close
+constexpr auto lame_duck = milliseconds(500); // minimum time between readiness off and closing the listener
 constexpr auto drain_poll = milliseconds(20);
 
 table_options make_table_options(const settings::process_settings& settings)
@@ -105,7 +105,7 @@
         PLUMSPOKE_LOG(ERROR, part) << "Requests are still in flight after " << settings_.drain_ms
                                    << " ms. Waiting for their deadlines.";
     }
-    http_->stop(); // joins the threads that still answer
+    http_->stop(); // joins the threads that are still answering
     error::check_invariant(
         error::invariant::stop_cuts_nothing, http_->in_flight() == 0, "entry::server::drain");
 }
@@ -140,7 +140,7 @@
 {
     urcu_memb_register_thread();
     std::unique_lock lock(reporter_mutex_);
-    // The lease is kept up while requests drain: they are still sent under it.
+    // Keep renewing the lease while requests drain, since they are sent under it.
     while (!stopping_ || http_->in_flight() > 0 || http_->open_connections() > 0)
     {
         lock.unlock();
@@ -232,7 +232,7 @@
                            "entry::server::take_orders");
     if (reply.version < version_)
     {
-        return; // a leader that knows less can't be one; no lease from it
+        return; // a reply with an older version is not from the current leader, so its lease is ignored
     }
     if (reply.version > version_ && !reply.configuration.empty())
     {
--- a/tests/src/unit-endpoint_connection.cpp
+++ b/tests/src/unit-endpoint_connection.cpp
@@ -1,4 +1,4 @@
-// Real sockets: an endpoint that misbehaves in each way, and what is known of the request afterwards.
+// Exchanges over real sockets with faulty endpoints: the reported error, progress and reusability.
 
 #include "plumspoke/endpoint/connection.hpp"
 
@@ -19,11 +19,12 @@
 
 constexpr std::size_t max_answer = 4096;
 
-/// A listener on a free port; `behave` gets each accepted socket.
+/// Listens on a free port and calls `handle_connection` with each accepted socket.
 class fake_endpoint
 {
   public:
-    explicit fake_endpoint(std::function<void(int)> behave) : behave_(std::move(behave))
+    explicit fake_endpoint(std::function<void(int)> handle_connection)
+        : handle_connection_(std::move(handle_connection))
     {
         listener_ = ::socket(AF_INET, SOCK_STREAM, 0);
         sockaddr_in address{};
@@ -57,12 +58,12 @@
         for (int accepted = ::accept(listener_, nullptr, nullptr); accepted >= 0;
              accepted = ::accept(listener_, nullptr, nullptr))
         {
-            behave_(accepted);
+            handle_connection_(accepted);
             ::close(accepted);
         }
     }
 
-    std::function<void(int)> behave_;
+    std::function<void(int)> handle_connection_;
     int listener_ = -1;
     std::uint16_t port_ = 0;
     std::thread thread_;
@@ -79,7 +80,7 @@
     (void)!::send(socket, text.data(), text.size(), MSG_NOSIGNAL);
 }
 
-/// Waits until the other side has closed or reset the connection.
+/// Waits until the peer has closed or reset the connection.
 void wait_for_close(int socket)
 {
     char byte = 0;
@@ -103,9 +104,9 @@
 
 } // namespace
 
-TEST_CASE("an exchange with an endpoint")
+TEST_CASE("exchange with an endpoint")
 {
-    SECTION("gives the whole answer, also when it comes in pieces")
+    SECTION("returns the complete answer when it arrives in fragments")
     {
         const fake_endpoint other(
             [](int socket)
@@ -123,7 +124,7 @@
         CHECK(http::find_header(result.answer.headers, "x-mark") == "a");
         CHECK(result.reusable);
     }
-    SECTION("understands chunks, and an answer that ends with its connection")
+    SECTION("accepts chunked answers and answers delimited by the end of the connection")
     {
         const fake_endpoint chunked(
             [](int socket)
@@ -143,7 +144,7 @@
         CHECK(result.answer.body == "until the end");
         CHECK_FALSE(result.reusable);
     }
-    SECTION("that nobody accepts was never sent")
+    SECTION("reports that nothing was sent if the connection is refused")
     {
         std::string address;
         {
@@ -154,14 +155,14 @@
         CHECK(result.error == errc::connect_refused);
         CHECK(result.reached == progress::nothing_sent);
     }
-    SECTION("that is never answered ends at its deadline, and may have run")
+    SECTION("times out at the deadline without an answer and reports that the request was sent")
     {
         const fake_endpoint silent(&wait_for_close);
         const exchange_result result = exchange_with(silent.address(), milliseconds(50));
         CHECK(result.error == errc::answer_timeout);
         CHECK(result.reached == progress::sent);
     }
-    SECTION("whose body stalls ends at its deadline")
+    SECTION("times out at the deadline if the body stalls")
     {
         const fake_endpoint stalling(
             [](int socket)
@@ -172,7 +173,7 @@
             });
         CHECK(exchange_with(stalling.address(), milliseconds(50)).error == errc::answer_timeout);
     }
-    SECTION("closed before, in and after the header is no answer")
+    SECTION("fails if the connection is closed before, within or after the header")
     {
         const fake_endpoint before(&read_request);
         CHECK(exchange_with(before.address()).error == errc::closed_before_answer);
@@ -194,7 +195,7 @@
         CHECK(result.reached == progress::sent);
         CHECK(result.answer.body.empty());
     }
-    SECTION("that is reset may have run")
+    SECTION("reports that the request was sent if the connection is reset")
     {
         const fake_endpoint resetting(
             [](int socket)
@@ -207,7 +208,7 @@
         CHECK(result.error);
         CHECK(result.reached == progress::sent);
     }
-    SECTION("answered with garbage, or with more than is allowed, is no answer")
+    SECTION("rejects an answer that is not HTTP or exceeds the size limit")
     {
         const fake_endpoint garbage(
             [](int socket)
@@ -225,7 +226,7 @@
         CHECK(exchange_with(large.address()).error.message() ==
               make_error_code(errc::answer_too_large).message());
     }
-    SECTION("answered twice is never reused: the second answer must not meet another request")
+    SECTION("does not reuse a connection with a second answer, which must not be matched to another request")
     {
         const fake_endpoint twice(
             [](int socket)
@@ -239,7 +240,7 @@
         CHECK_FALSE(result.error);
         CHECK_FALSE(result.reusable);
     }
-    SECTION("leaves an idle connection that the endpoint closed or spoke on unusable")
+    SECTION("returns a stale answer that arrives on a reused connection")
     {
         const fake_endpoint late(
             [](int socket)
@@ -247,7 +248,7 @@
                 read_request(socket);
                 send_text(socket, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi");
                 char byte = 0;
-                (void)!::recv(socket, &byte, 1, MSG_PEEK); // until the test goes on
+                (void)!::recv(socket, &byte, 1, MSG_PEEK); // blocks until the second request arrives
                 send_text(socket, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate");
                 wait_for_close(socket);
             });
@@ -257,8 +258,8 @@
         const exchange_result first = self.exchange("GET / HTTP/1.1\r\n\r\n", deadline, max_answer);
         CHECK(first.reusable);
         CHECK(self.is_idle_and_open());
-        // The second request pokes the endpoint, which answers the first one once more.
+        // On the second request, the endpoint answers the first one again.
         const exchange_result second = self.exchange("GET /2 HTTP/1.1\r\n\r\n", deadline, max_answer);
-        CHECK(second.answer.body == "late"); // an entry refuses it by its request's name: see whole_path
+        CHECK(second.answer.body == "late"); // an entry rejects it by the request id, see unit-whole_path.cpp
     }
 }
--- a/tests/src/unit-entry_decisions.cpp
+++ b/tests/src/unit-entry_decisions.cpp
@@ -14,12 +14,12 @@
 const time_point start = from_microseconds(3'600'000'000);
 const time_point deadline = start + seconds(1);
 
-attempt_result never_sent()
+attempt_result not_sent()
 {
     return {endpoint::progress::nothing_sent, endpoint::errc::connect_refused, 0, false};
 }
 
-attempt_result lost_on_the_way()
+attempt_result sent_without_answer()
 {
     return {endpoint::progress::sent, endpoint::errc::closed_before_answer, 0, false};
 }
@@ -46,11 +46,11 @@
 
 } // namespace
 
-TEST_CASE("after an attempt")
+TEST_CASE("retry decision after an attempt")
 {
     retry_budget budget(10, 10);
 
-    SECTION("a whole answer goes to the caller")
+    SECTION("a complete answer is forwarded to the caller")
     {
         request_flow flow(true, 3, deadline);
         flow.begin_attempt();
@@ -58,43 +58,43 @@
         REQUIRE(std::holds_alternative<forward_answer>(decided));
         CHECK(std::get<forward_answer>(decided).reported == outcome::done);
     }
-    SECTION("an unsafe request that never left is sent again, and is not run if that ends")
+    SECTION(
+        "an unsafe request that was not sent is retried, and reported as not run once attempts are exhausted")
     {
         request_flow flow(false, 2, deadline);
         flow.begin_attempt();
-        CHECK(std::holds_alternative<retry_attempt>(flow.decide(start, never_sent(), budget)));
+        CHECK(std::holds_alternative<retry_attempt>(flow.decide(start, not_sent(), budget)));
         flow.begin_attempt();
-        const retry_decision decided = flow.decide(start, never_sent(), budget);
+        const retry_decision decided = flow.decide(start, not_sent(), budget);
         REQUIRE(std::holds_alternative<abandon_request>(decided));
         CHECK(std::get<abandon_request>(decided).reported == outcome::not_run);
         CHECK(std::get<abandon_request>(decided).reason == refusal::attempts_used_up);
     }
-    SECTION("an unsafe request that left is never sent again, and its outcome is unknown")
+    SECTION("an unsafe request that was sent is never retried, and its outcome is unknown")
     {
         request_flow flow(false, 3, deadline);
         flow.begin_attempt();
-        const retry_decision decided = flow.decide(start, lost_on_the_way(), budget);
+        const retry_decision decided = flow.decide(start, sent_without_answer(), budget);
         REQUIRE(std::holds_alternative<abandon_request>(decided));
         CHECK(std::get<abandon_request>(decided).reported == outcome::unknown);
         CHECK(std::get<abandon_request>(decided).reason == refusal::unsafe_not_repeated);
     }
-    SECTION("the endpoint's own refusal is proof that an unsafe request did not run")
+    SECTION("a refusal by the endpoint proves that an unsafe request did not run")
     {
         request_flow flow(false, 3, deadline);
         flow.begin_attempt();
         CHECK(std::holds_alternative<retry_attempt>(flow.decide(start, answered(503, true), budget)));
         CHECK(flow.outcome_if_abandoned() == outcome::not_run);
     }
-    SECTION("a safe request that left once may have run, even if the next attempt never left")
+    SECTION("a safe request that was sent once may have run, even if the next attempt was not sent")
     {
         request_flow flow(true, 2, deadline);
         flow.begin_attempt();
-        CHECK(std::holds_alternative<retry_attempt>(flow.decide(start, lost_on_the_way(), budget)));
+        CHECK(std::holds_alternative<retry_attempt>(flow.decide(start, sent_without_answer(), budget)));
         flow.begin_attempt();
-        CHECK(std::get<abandon_request>(flow.decide(start, never_sent(), budget)).reported ==
-              outcome::unknown);
+        CHECK(std::get<abandon_request>(flow.decide(start, not_sent(), budget)).reported == outcome::unknown);
     }
-    SECTION("a server error that may not be repeated is passed on as it is")
+    SECTION("a server error of an unsafe request is forwarded unchanged")
     {
         request_flow flow(false, 3, deadline);
         flow.begin_attempt();
@@ -102,21 +102,21 @@
         REQUIRE(std::holds_alternative<forward_answer>(decided));
         CHECK(std::get<forward_answer>(decided).reported == outcome::unknown);
     }
-    SECTION("nothing is sent past the deadline or past the budget")
+    SECTION("no retry after the deadline or with an empty retry budget")
     {
         request_flow late(true, 3, deadline);
         late.begin_attempt();
-        CHECK(std::get<abandon_request>(late.decide(deadline, never_sent(), budget)).reason ==
+        CHECK(std::get<abandon_request>(late.decide(deadline, not_sent(), budget)).reason ==
               refusal::deadline_passed);
         retry_budget empty(10, 0);
         request_flow flow(true, 3, deadline);
         flow.begin_attempt();
-        CHECK(std::get<abandon_request>(flow.decide(start, never_sent(), empty)).reason ==
+        CHECK(std::get<abandon_request>(flow.decide(start, not_sent(), empty)).reason ==
               refusal::retry_budget_empty);
     }
 }
 
-TEST_CASE("a retry budget earns a share of the requests and no more than its reserve")
+TEST_CASE("a retry budget grows by a share of the requests up to its reserve")
 {
     retry_budget budget(10, 2);
     CHECK(budget.try_consume());
@@ -138,7 +138,7 @@
     CHECK_FALSE(budget.try_consume());
 }
 
-TEST_CASE("admission")
+TEST_CASE("admission control")
 {
     admission_input input;
     input.slots = 8;
@@ -147,11 +147,11 @@
     input.mean_us = 10'000;
     input.left = milliseconds(100);
 
-    SECTION("lets through what can be done")
+    SECTION("admits a request that can meet its deadline")
     {
         CHECK_FALSE(admit(input).has_value());
     }
-    SECTION("refuses at once what would be late, with when to come back")
+    SECTION("refuses at once a request that would miss its deadline, with a retry delay")
     {
         input.waiting = 9;
         input.mean_us = 80'000;
@@ -160,18 +160,18 @@
         CHECK(refused->reason == refusal::cannot_meet_deadline);
         CHECK(refused->retry_after == milliseconds(100));
     }
-    SECTION("bounds the queue")
+    SECTION("limits the number of waiting requests")
     {
         input.waiting = 10;
         CHECK(admit(input)->reason == refusal::queue_full);
     }
-    SECTION("holds the quota")
+    SECTION("limits the requests in flight")
     {
         input.max_in_flight = 5;
         input.in_flight = 5;
         CHECK(admit(input)->reason == refusal::over_quota);
     }
-    SECTION("says what is missing")
+    SECTION("reports whether slots or endpoints are missing")
     {
         input.slots = 0;
         CHECK(admit(input)->reason == refusal::no_slots);
@@ -180,7 +180,7 @@
     }
 }
 
-TEST_CASE("a guard")
+TEST_CASE("endpoint guard")
 {
     endpoint::guard_options options;
     options.failures = 3;
@@ -193,7 +193,7 @@
     self.note_failure(start, true);
     CHECK_FALSE(self.permits(start + milliseconds(999)));
 
-    SECTION("lets one trial through when its time is over")
+    SECTION("permits one trial request after the open time")
     {
         CHECK(self.permits(start + milliseconds(1000)));
         self.note_sent(start + milliseconds(1000));
@@ -201,14 +201,14 @@
         self.note_success();
         CHECK(self.permits(start + milliseconds(1002)));
     }
-    SECTION("waits longer after each trial that failed")
+    SECTION("doubles the open time after a failed trial")
     {
         self.note_sent(start + milliseconds(1000));
         self.note_failure(start + milliseconds(1001), true);
         CHECK_FALSE(self.permits(start + milliseconds(3000)));
         CHECK(self.permits(start + milliseconds(3001)));
     }
-    SECTION("stays closed where too many are open already")
+    SECTION("stays closed if too many guards are open")
     {
         endpoint::guard other(options);
         for (int i = 0; i < 9; ++i)
@@ -219,7 +219,7 @@
     }
 }
 
-TEST_CASE("the choice of an endpoint")
+TEST_CASE("endpoint choice")
 {
     const std::unique_ptr<route_table> table = make_table(one_service(4), nullptr, {"w3"}, start, {});
     const service_route& route = *table->find("quick");
@@ -228,7 +228,7 @@
         slots->set_granted(2);
     }
 
-    SECTION("prefers the own availability zone where it costs nothing")
+    SECTION("prefers the local availability zone")
     {
         for (std::uint64_t random = 0; random < 4; ++random)
         {
@@ -238,7 +238,7 @@
             chosen->slots().release();
         }
     }
-    SECTION("never takes more slots than were granted, and none of a leaving worker")
+    SECTION("never acquires more slots than granted, and none of a leaving worker")
     {
         std::vector<endpoint_pointer> taken;
         for (std::uint64_t random = 0; random < 20; ++random)
@@ -252,13 +252,13 @@
         }
         CHECK(taken.size() == 6);
     }
-    SECTION("goes elsewhere with a request that failed")
+    SECTION("avoids an endpoint that the request was already sent to")
     {
         const endpoint_pointer first = choose_endpoint(route, "near", start, 0, {});
         const std::vector<const endpoint_state*> tried = {first.get()};
         CHECK(choose_endpoint(route, "near", start, 0, tried) != first);
     }
-    SECTION("leaves an endpoint out that its guard has taken out, and keeps its share bounded")
+    SECTION("skips an endpoint excluded by its guard, and limits the share of excluded endpoints")
     {
         for (int i = 0; i < 5; ++i)
         {
@@ -269,7 +269,7 @@
         CHECK_FALSE(may_open_guard(route, start, 25));
         CHECK(choose_endpoint(route, "near", start, 0, {}) != route.endpoints[0]);
     }
-    SECTION("takes out an endpoint whose latency is far from its peers'")
+    SECTION("excludes an endpoint whose latency is far above its peers'")
     {
         for (int i = 0; i < 3; ++i)
         {
@@ -279,7 +279,7 @@
         CHECK(exclude_slow_endpoints(route, start, 50) == 1);
         CHECK(route.endpoints[2]->is_excluded(start));
     }
-    SECTION("keeps what it knows of an endpoint over a change of configuration")
+    SECTION("keeps the endpoint state across configuration versions")
     {
         route.endpoints[0]->note_success(milliseconds(7));
         control::configuration changed = one_service(5);
@@ -290,7 +290,7 @@
     }
 }
 
-TEST_CASE("a lower grant takes effect at once and counts what is still in flight")
+TEST_CASE("a lower grant applies at once and held slots include requests in flight")
 {
     worker_slots slots("w1");
     slots.set_granted(2);
@@ -303,9 +303,9 @@
     CHECK_FALSE(slots.acquire());
     CHECK(slots.held() == 1);
 
-    SECTION("an abandoned request keeps its slot until it has surely ended")
+    SECTION("an abandoned request keeps its slot until its release time")
     {
-        // Regression: an endpoint that hangs was given the next request into the same slot.
+        // A hanging endpoint must not receive the next request in the slot of an abandoned one.
         slots.schedule_release(start + seconds(1));
         CHECK(slots.release_expired(start) == 0);
         CHECK_FALSE(slots.acquire());
