--- a/include/plumspoke/endpoint/guard.hpp
+++ b/include/plumspoke/endpoint/guard.hpp
@@ -36,12 +36,12 @@
     [[nodiscard]] bool permits(time_point now) const noexcept;
 
     /// @brief Records that a request is sent; starts the trial if the open time has elapsed.
-    void note_sent(time_point now) noexcept;
+    void record_sent(time_point now) noexcept;
 
-    void note_success() noexcept;
+    void record_success() noexcept;
 
     /// @param may_open false if the limit of open guards of the service is reached
-    void note_failure(time_point now, bool may_open) noexcept;
+    void record_failure(time_point now, bool may_open) noexcept;
 
     /// @brief Opens a closed guard, because the endpoint is slow compared to its peers.
     void trip(time_point now) noexcept;
@@ -61,7 +61,7 @@
     guard_options options_;
     state state_ = state::closed;
     int consecutive_failures_ = 0;
-    int openings_ = 0;
+    int consecutive_openings_ = 0;
     time_point open_until_{};
     time_point trial_since_{};
 };
--- a/include/plumspoke/entry/admission.hpp
+++ b/include/plumspoke/entry/admission.hpp
@@ -19,10 +19,10 @@
     std::int64_t max_in_flight = 0;
     std::int64_t waiting = 0;
     std::int64_t max_waiting = 0;
-    std::int64_t slots = 0;   // granted on the service's usable endpoints
-    std::int64_t usable = 0;  // endpoints that are neither leaving nor excluded by their guard
-    std::int64_t mean_us = 0; // smoothed time that a slot is held
-    duration left{};          // until the deadline
+    std::int64_t slots = 0;             // granted on the service's usable endpoints
+    std::int64_t usable = 0;            // endpoints that are neither leaving nor excluded by their guard
+    std::int64_t mean_slot_time_us = 0; // smoothed time that a slot is held
+    duration left{};                    // until the deadline
 };
 
 /// @brief A refusal and the delay after which the caller may retry.
--- a/include/plumspoke/entry/endpoint_state.hpp
+++ b/include/plumspoke/entry/endpoint_state.hpp
@@ -52,9 +52,9 @@
         return from_microseconds(leaving_since_us_.load(std::memory_order_acquire));
     }
     /// @brief Smoothed answer time in microseconds; 0 before the first answer.
-    [[nodiscard]] std::int64_t expected_us() const noexcept
+    [[nodiscard]] std::int64_t smoothed_latency_us() const noexcept
     {
-        return expected_us_.load(std::memory_order_relaxed);
+        return smoothed_latency_us_.load(std::memory_order_relaxed);
     }
     [[nodiscard]] bool permits(time_point now) const;
     [[nodiscard]] bool is_excluded(time_point now) const;
@@ -67,11 +67,11 @@
 
     /// @brief Records that the endpoint's answer reported it as leaving; valid until `until`, since no later
     ///        answer revokes it.
-    void note_self_reported_leaving(time_point now, time_point until) noexcept;
+    void record_self_reported_leaving(time_point now, time_point until) noexcept;
 
-    void note_sent(time_point now);
-    void note_success(duration took);
-    void note_failure(time_point now, bool may_open);
+    void record_sent(time_point now);
+    void record_success(duration took);
+    void record_failure(time_point now, bool may_open);
     void trip(time_point now);
     /// @}
 
@@ -100,7 +100,7 @@
     std::atomic<bool> listed_leaving_{false};
     std::atomic<std::int64_t> self_reported_leaving_until_us_{0};
     std::atomic<std::int64_t> leaving_since_us_{0};
-    std::atomic<std::int64_t> expected_us_{0};
+    std::atomic<std::int64_t> smoothed_latency_us_{0};
     std::atomic<bool> guard_closed_{true}; // lets the common case avoid the lock
     mutable std::mutex mutex_;
     endpoint::guard guard_;
--- a/include/plumspoke/entry/rcu.hpp
+++ b/include/plumspoke/entry/rcu.hpp
@@ -30,13 +30,13 @@
 };
 
 /// @brief Holds the current object; readers see a consistent version, writers replace it.
-template <typename Object> class rcu_cell
+template <typename Object> class rcu_pointer
 {
   public:
-    rcu_cell() noexcept = default;
-    rcu_cell(const rcu_cell&) = delete;
-    rcu_cell& operator=(const rcu_cell&) = delete;
-    ~rcu_cell()
+    rcu_pointer() noexcept = default;
+    rcu_pointer(const rcu_pointer&) = delete;
+    rcu_pointer& operator=(const rcu_pointer&) = delete;
+    ~rcu_pointer()
     {
         delete current_.load();
     }
--- a/include/plumspoke/entry/retry_budget.hpp
+++ b/include/plumspoke/entry/retry_budget.hpp
@@ -21,7 +21,7 @@
     {
     }
 
-    void note_request() noexcept
+    void record_request() noexcept
     {
         std::int64_t balance = balance_.load(std::memory_order_relaxed);
         while (balance < max_balance_ &&
--- a/include/plumspoke/entry/route_table.hpp
+++ b/include/plumspoke/entry/route_table.hpp
@@ -47,10 +47,10 @@
 
 /// @brief Builds the next table. Services, endpoints and workers that remain keep their state: counters,
 ///        guards, slots and connections.
-/// @param before the current table, or null
+/// @param previous the current table, or null
 /// @param leaving workers that the platform lists as leaving
 [[nodiscard]] std::unique_ptr<route_table> make_table(const control::configuration& config,
-                                                      const route_table* before,
+                                                      const route_table* previous,
                                                       const std::set<std::string>& leaving,
                                                       time_point now,
                                                       const table_options& options);
--- a/include/plumspoke/entry/server.hpp
+++ b/include/plumspoke/entry/server.hpp
@@ -43,8 +43,9 @@
     [[nodiscard]] http::response answer_call(const http::request& received, std::string_view service);
     [[nodiscard]] http::response process_call(call_context& call);
     [[nodiscard]] http::response process_claimed_call(call_context& call);
-    [[nodiscard]] endpoint_pointer take_slot(call_context& call, std::optional<admission_refusal>& refused);
-    [[nodiscard]] endpoint_pointer try_slot(const call_context& call);
+    [[nodiscard]] endpoint_pointer acquire_slot(call_context& call,
+                                                std::optional<admission_refusal>& refused);
+    [[nodiscard]] endpoint_pointer try_acquire_slot(const call_context& call);
     [[nodiscard]] http::response attempt_loop(call_context& call);
     [[nodiscard]] endpoint::exchange_result attempt(call_context& call, endpoint_state& target);
     void record_attempt(const call_context& call,
@@ -77,7 +78,7 @@
     std::unique_ptr<http::server> http_;
     vm_list::poller platform_;
 
-    rcu_cell<route_table> table_;
+    rcu_pointer<route_table> table_;
     slot_queue queue_;
     std::atomic<std::int64_t> lease_end_us_{0};
     std::atomic<bool> draining_{false};
--- a/include/plumspoke/entry/service_state.hpp
+++ b/include/plumspoke/entry/service_state.hpp
@@ -33,22 +33,23 @@
     }
 
     /// @brief Smoothed time in microseconds that a slot is held; 0 before the first sample.
-    [[nodiscard]] std::int64_t mean_us() const noexcept
+    [[nodiscard]] std::int64_t mean_slot_time_us() const noexcept
     {
-        return mean_us_.load(std::memory_order_relaxed);
+        return mean_slot_time_us_.load(std::memory_order_relaxed);
     }
     void record_slot_time(duration took) noexcept
     {
         constexpr std::int64_t smoothing = 16;
-        const std::int64_t before = mean_us();
+        const std::int64_t before = mean_slot_time_us();
         const std::int64_t time = took.count() < 1 ? 1 : took.count();
-        mean_us_.store(before == 0 ? time : before + (time - before) / smoothing, std::memory_order_relaxed);
+        mean_slot_time_us_.store(before == 0 ? time : before + (time - before) / smoothing,
+                                 std::memory_order_relaxed);
     }
 
     std::atomic<std::int64_t> in_flight{0};
     std::atomic<std::int64_t> waiting{0};
     metrics::counter requests;
-    metrics::counter sent; // attempts
+    metrics::counter attempts;
     std::array<metrics::counter, refusal_count> refusals;
     std::array<metrics::counter, retry_reason_count> retries;
     std::array<metrics::latency_histogram, outcome_count>
@@ -57,7 +58,7 @@
   private:
     std::string name_;
     retry_budget budget_;
-    std::atomic<std::int64_t> mean_us_{0};
+    std::atomic<std::int64_t> mean_slot_time_us_{0};
 };
 
 } // namespace plumspoke::entry
--- a/include/plumspoke/entry/slot_queue.hpp
+++ b/include/plumspoke/entry/slot_queue.hpp
@@ -19,7 +19,7 @@
 {
   public:
     /// @brief Tries to acquire a slot; returns whether it did.
-    using attempt = std::function<bool()>;
+    using acquire_function = std::function<bool()>;
 
     /// @brief Waits until an attempt succeeds or the timeout is reached.
     /// @param service identifies the service whose slots are waited for; never dereferenced
@@ -27,7 +27,7 @@
     /// @param until time of the last attempt
     /// @return whether an attempt succeeded
     [[nodiscard]] bool
-    wait(const void* service, bool latency_critical, time_point until, const attempt& try_now);
+    wait(const void* service, bool latency_critical, time_point until, const acquire_function& try_acquire);
 
     /// @brief A slot was released: the first waiter tries again.
     void notify_one();
@@ -38,7 +38,7 @@
     /// @brief Whether a waiter precedes a new request of this priority.
     [[nodiscard]] bool has_waiter_ahead(bool latency_critical) const noexcept
     {
-        return critical_.load(std::memory_order_acquire) > 0 ||
+        return waiting_critical_.load(std::memory_order_acquire) > 0 ||
                (!latency_critical && waiting_.load(std::memory_order_acquire) > 0);
     }
 
@@ -58,7 +58,7 @@
     std::mutex mutex_;
     waiter_list waiters_;
     std::atomic<std::int64_t> waiting_{0};
-    std::atomic<std::int64_t> critical_{0};
+    std::atomic<std::int64_t> waiting_critical_{0};
 };
 
 } // namespace plumspoke::entry
--- a/src/endpoint/connection.cpp
+++ b/src/endpoint/connection.cpp
@@ -85,7 +85,7 @@
                        });
 }
 
-void take_answer(answer_parser& parser, exchange_result& result)
+void store_answer(answer_parser& parser, exchange_result& result)
 {
     auto message = parser.release();
     result.answer.status = static_cast<int>(message.result_int());
@@ -103,7 +103,7 @@
     result.reached = progress::answered;
 }
 
-std::error_code error_of(const beast::error_code& failed)
+std::error_code to_error_code(const beast::error_code& failed)
 {
     if (failed == beast::http::error::body_limit || failed == beast::http::error::header_limit)
     {
@@ -113,7 +113,7 @@
 }
 
 /// Parses the buffered data; returns true once the answer is complete.
-bool feed(answer_parser& parser, std::string& buffer, std::error_code& error)
+bool parse_buffered(answer_parser& parser, std::string& buffer, std::error_code& error)
 {
     while (!buffer.empty() && !parser.is_done())
     {
@@ -126,7 +126,7 @@
         }
         if (failed)
         {
-            error = error_of(failed);
+            error = to_error_code(failed);
             return false;
         }
     }
@@ -252,7 +252,7 @@
             }
             if (count == 0 && anything_read && !failed && parser.is_done())
             {
-                take_answer(parser, result);
+                store_answer(parser, result);
                 result.reusable = false;
                 answer_pending_ = false;
                 return result;
@@ -262,16 +262,16 @@
         }
         anything_read = true;
         buffer.append(chunk.data(), static_cast<std::size_t>(count));
-        const bool whole = feed(parser, buffer, result.error);
+        const bool complete = parse_buffered(parser, buffer, result.error);
         if (parser.get().body().size() > max_answer || parser.content_length().value_or(0) > max_answer)
         {
             // Boost.Beast 1.74 does not apply its body limit to a body that arrives together with the header.
             result.error = errc::answer_too_large;
             return result;
         }
-        if (whole)
+        if (complete)
         {
-            take_answer(parser, result);
+            store_answer(parser, result);
             answer_pending_ = false;
             result.reusable = result.reusable && buffer.empty(); // unsolicited data follows: never reuse
             return result;
--- a/src/endpoint/guard.cpp
+++ b/src/endpoint/guard.cpp
@@ -20,7 +20,7 @@
     return true;
 }
 
-void guard::note_sent(time_point now) noexcept
+void guard::record_sent(time_point now) noexcept
 {
     if (state_ != state::closed && permits(now))
     {
@@ -29,22 +29,22 @@
     }
 }
 
-void guard::note_success() noexcept
+void guard::record_success() noexcept
 {
     state_ = state::closed;
     consecutive_failures_ = 0;
-    openings_ = 0;
+    consecutive_openings_ = 0;
 }
 
 void guard::open(time_point now) noexcept
 {
-    const int doubling = std::min(openings_, options_.max_doublings);
+    const int doubling = std::min(consecutive_openings_, options_.max_doublings);
     state_ = state::open;
     open_until_ = now + options_.open_for * (1 << doubling);
-    ++openings_;
+    ++consecutive_openings_;
 }
 
-void guard::note_failure(time_point now, bool may_open) noexcept
+void guard::record_failure(time_point now, bool may_open) noexcept
 {
     ++consecutive_failures_;
     if (state_ == state::trial ||
--- a/src/entry/admission.cpp
+++ b/src/entry/admission.cpp
@@ -19,14 +19,14 @@
     {
         return duration{};
     }
-    return duration((input.waiting + 1) * input.mean_us / std::max<std::int64_t>(1, input.slots));
+    return duration((input.waiting + 1) * input.mean_slot_time_us / std::max<std::int64_t>(1, input.slots));
 }
 
 duration max_wait(const admission_input& input) noexcept
 {
     // Reserves twice the mean time for the answer: a request that starts too late occupies a slot for an
     // answer that nobody waits for.
-    return std::max(duration{}, input.left - std::min(2 * duration(input.mean_us), input.left / 2));
+    return std::max(duration{}, input.left - std::min(2 * duration(input.mean_slot_time_us), input.left / 2));
 }
 
 std::optional<admission_refusal> admit(const admission_input& input) noexcept
--- a/src/entry/call.cpp
+++ b/src/entry/call.cpp
@@ -95,7 +95,8 @@
         const service_route* route = table == nullptr ? nullptr : table->find(service);
         if (route != nullptr)
         {
-            call.take(*route, deadline_of(route->config, received), static_cast<int>(settings_.max_attempts));
+            call.set_route(
+                *route, deadline_of(route->config, received), static_cast<int>(settings_.max_attempts));
         }
     }
     if (call.state == nullptr)
@@ -106,7 +107,7 @@
         return call.refusal_response(reason, outcome::not_run, seconds(1), told_routes ? 404 : 503);
     }
     call.state->requests.add();
-    call.state->budget().note_request();
+    call.state->budget().record_request();
     call.state->in_flight.fetch_add(1, std::memory_order_relaxed);
     http::response result = process_call(call);
     call.state->in_flight.fetch_sub(1, std::memory_order_relaxed);
@@ -184,7 +185,7 @@
     return result;
 }
 
-endpoint_pointer server::try_slot(const call_context& call)
+endpoint_pointer server::try_acquire_slot(const call_context& call)
 {
     const rcu_read_section section;
     const route_table* table = table_.read(section);
@@ -197,12 +198,12 @@
     return choose_endpoint(*route, settings_.availability_zone, now, random_number(), call.tried);
 }
 
-endpoint_pointer server::take_slot(call_context& call, std::optional<admission_refusal>& refused)
+endpoint_pointer server::acquire_slot(call_context& call, std::optional<admission_refusal>& refused)
 {
     const bool critical = call.latency_critical;
     if (!queue_.has_waiter_ahead(critical))
     {
-        if (endpoint_pointer found = try_slot(call); found != nullptr)
+        if (endpoint_pointer found = try_acquire_slot(call); found != nullptr)
         {
             return found;
         }
@@ -232,7 +233,7 @@
                                    until,
                                    [&]
                                    {
-                                       found = try_slot(call);
+                                       found = try_acquire_slot(call);
                                        return found != nullptr;
                                    });
     call.state->waiting.fetch_sub(1);
@@ -266,24 +267,25 @@
             return result;
         }
     }
-    std::string head;
-    constexpr std::size_t head_estimate = 512;
-    head.reserve(call.received.body.size() + head_estimate);
-    head += call.received.method + " " + std::string(call.rest) + " HTTP/1.1\r\nHost: " + target.address();
+    std::string message;
+    constexpr std::size_t head_size_estimate = 512;
+    message.reserve(call.received.body.size() + head_size_estimate);
+    message += call.received.method + " " + std::string(call.endpoint_target) +
+               " HTTP/1.1\r\nHost: " + target.address();
     const auto left = std::chrono::duration_cast<milliseconds>(deadline - now);
-    head += "\r\nPlumspoke-Deadline-Ms: " + std::to_string(left.count());
+    message += "\r\nPlumspoke-Deadline-Ms: " + std::to_string(left.count());
     const std::string id = call.id(settings_.name, incarnation_);
-    head += "\r\nPlumspoke-Request: " + id;
+    message += "\r\nPlumspoke-Request: " + id;
     for (const http::header& one : call.received.headers)
     {
         if (is_forwarded(one.name))
         {
-            head += "\r\n" + one.name + ": " + one.value;
+            message += "\r\n" + one.name + ": " + one.value;
         }
     }
-    head += "\r\nContent-Length: " + std::to_string(call.received.body.size()) + "\r\n\r\n";
-    head += call.received.body;
-    result = connection->exchange(head, deadline, static_cast<std::size_t>(settings_.max_answer_bytes));
+    message += "\r\nContent-Length: " + std::to_string(call.received.body.size()) + "\r\n\r\n";
+    message += call.received.body;
+    result = connection->exchange(message, deadline, static_cast<std::size_t>(settings_.max_answer_bytes));
     const std::string_view echoed = http::find_header(result.answer.headers, "Plumspoke-Request");
     if (!result.error && !echoed.empty() && echoed != id)
     {
@@ -308,7 +310,7 @@
     {
         if (!end.endpoint_refused)
         {
-            target.note_success(took);
+            target.record_success(took);
             call.state->record_slot_time(took);
         }
         return;
@@ -320,7 +322,7 @@
         const service_route* route = table == nullptr ? nullptr : table->find(call.service);
         may_open = route != nullptr && may_open_guard(*route, now, settings_.guard_max_share_percent);
     }
-    target.note_failure(now, may_open);
+    target.record_failure(now, may_open);
 }
 
 http::response server::attempt_loop(call_context& call)
@@ -328,7 +330,7 @@
     while (true)
     {
         std::optional<admission_refusal> refused;
-        const endpoint_pointer target = take_slot(call, refused);
+        const endpoint_pointer target = acquire_slot(call, refused);
         if (target == nullptr)
         {
             return refuse(call, refused->reason, call.flow->outcome_if_abandoned(), refused->retry_after);
@@ -343,8 +345,8 @@
                                !target->leaving(began) || began < target->leaving_since() + leaving_grace,
                                "entry::server::attempt_loop");
         call.flow->begin_attempt();
-        call.state->sent.add();
-        target->note_sent(began);
+        call.state->attempts.add();
+        target->record_sent(began);
         endpoint::exchange_result result = attempt(call, *target);
         if (result.error && result.reached == endpoint::progress::sent)
         {
@@ -366,7 +368,7 @@
                                                     to_string(outcome::not_run);
         if (!http::find_header(result.answer.headers, leaving_header).empty())
         {
-            target->note_self_reported_leaving(began, began + leaving_report_lifetime);
+            target->record_self_reported_leaving(began, began + leaving_report_lifetime);
         }
         const time_point ended = std::chrono::steady_clock::now();
         record_attempt(call, *target, end, std::chrono::duration_cast<duration>(ended - began));
--- a/src/entry/call_context.cpp
+++ b/src/entry/call_context.cpp
@@ -6,7 +6,7 @@
 namespace plumspoke::entry
 {
 
-void call_context::take(const service_route& route, duration within, int max_attempts)
+void call_context::set_route(const service_route& route, duration within, int max_attempts)
 {
     service = route.config.name;
     state = route.state;
@@ -16,15 +16,15 @@
     safe =
         route.config.safe_to_repeat && !marked_unsafe; // a caller can mark a request as unsafe, never as safe
     key = http::find_header(received.headers, "Idempotency-Key");
-    rest = received.path.substr(std::min(received.path.size(), service.size() + 1));
-    rest = rest.empty() ? "/" : rest;
-    rest += received.query.empty() ? "" : "?" + received.query;
+    endpoint_target = received.path.substr(std::min(received.path.size(), service.size() + 1));
+    endpoint_target = endpoint_target.empty() ? "/" : endpoint_target;
+    endpoint_target += received.query.empty() ? "" : "?" + received.query;
     flow.emplace(safe, max_attempts, started + within);
 }
 
 std::string call_context::digest() const
 {
-    const std::string whole = received.method + '\n' + rest + '\n' + received.body;
+    const std::string whole = received.method + '\n' + endpoint_target + '\n' + received.body;
     const XXH128_hash_t hash = XXH3_128bits(whole.data(), whole.size());
     return std::to_string(hash.high64) + "-" + std::to_string(hash.low64);
 }
--- a/src/entry/call_context.hpp
+++ b/src/entry/call_context.hpp
@@ -20,7 +20,7 @@
     }
 
     /// Copies the needed data from a route, so that the RCU read section can end.
-    void take(const service_route& route, duration within, int max_attempts);
+    void set_route(const service_route& route, duration within, int max_attempts);
 
     /// Hash of method, path, query and body; equal for repetitions of the same request.
     [[nodiscard]] std::string digest() const;
@@ -35,7 +35,7 @@
     time_point started;
     std::uint64_t number;
     std::string service;
-    std::string rest; // path and query sent to the endpoint
+    std::string endpoint_target; // path and query sent to the endpoint
     std::string key;
     service_pointer state;
     bool safe = false;
--- a/src/entry/endpoint_state.cpp
+++ b/src/entry/endpoint_state.cpp
@@ -44,7 +44,7 @@
     listed_leaving_.store(leaving, std::memory_order_release);
 }
 
-void endpoint_state::note_self_reported_leaving(time_point now, time_point until) noexcept
+void endpoint_state::record_self_reported_leaving(time_point now, time_point until) noexcept
 {
     if (!leaving(now))
     {
@@ -73,29 +73,30 @@
     return guard_.is_excluded(now);
 }
 
-void endpoint_state::note_sent(time_point now)
+void endpoint_state::record_sent(time_point now)
 {
     if (!guard_closed_.load(std::memory_order_acquire))
     {
         const std::lock_guard lock(mutex_);
-        guard_.note_sent(now);
+        guard_.record_sent(now);
     }
 }
 
-void endpoint_state::note_success(duration took)
+void endpoint_state::record_success(duration took)
 {
-    const std::int64_t before = expected_us();
+    const std::int64_t before = smoothed_latency_us();
     const std::int64_t time = std::max<std::int64_t>(1, took.count());
-    expected_us_.store(before == 0 ? time : before + (time - before) / smoothing, std::memory_order_relaxed);
+    smoothed_latency_us_.store(before == 0 ? time : before + (time - before) / smoothing,
+                               std::memory_order_relaxed);
     const std::lock_guard lock(mutex_);
-    guard_.note_success();
+    guard_.record_success();
     guard_closed_.store(true, std::memory_order_release);
 }
 
-void endpoint_state::note_failure(time_point now, bool may_open)
+void endpoint_state::record_failure(time_point now, bool may_open)
 {
     const std::lock_guard lock(mutex_);
-    guard_.note_failure(now, may_open);
+    guard_.record_failure(now, may_open);
     guard_closed_.store(guard_.current() == endpoint::guard::state::closed, std::memory_order_release);
     close_idle(idle_.size());
 }
--- a/src/entry/pages.cpp
+++ b/src/entry/pages.cpp
@@ -27,7 +27,7 @@
 {
     const std::string service = metrics::label("service", state.name());
     lines.push_back({"plumspoke_requests_total", service, state.requests.value()});
-    lines.push_back({"plumspoke_attempts_total", service, state.sent.value()});
+    lines.push_back({"plumspoke_attempts_total", service, state.attempts.value()});
     for (std::size_t i = 0; i < refusal_count; ++i)
     {
         const std::string reason = metrics::label("reason", to_string(static_cast<refusal>(i)));
@@ -88,7 +88,7 @@
                                      {"used", one->slots().used()},
                                      {"leaving", one->leaving(now)},
                                      {"out", one->is_excluded(now)},
-                                     {"expected_us", one->expected_us()}});
+                                     {"expected_us", one->smoothed_latency_us()}});
             }
         }
         return json_page(200,
--- a/src/entry/route_table.cpp
+++ b/src/entry/route_table.cpp
@@ -15,12 +15,12 @@
 constexpr std::int64_t min_slow_latency_us = 20'000;
 constexpr std::size_t min_peers = 3;
 
-slots_pointer slots_of(const std::string& worker, const route_table* before, route_table& next)
+slots_pointer find_or_create_slots(const std::string& worker, const route_table* previous, route_table& next)
 {
     slots_pointer& found = next.slots[worker];
-    if (found == nullptr && before != nullptr && before->slots.contains(worker))
+    if (found == nullptr && previous != nullptr && previous->slots.contains(worker))
     {
-        found = before->slots.at(worker);
+        found = previous->slots.at(worker);
     }
     if (found == nullptr)
     {
@@ -29,32 +29,32 @@
     return found;
 }
 
-const service_route* route_before(const route_table* before, const std::string& service)
+const service_route* previous_route(const route_table* previous, const std::string& service)
 {
-    return before == nullptr ? nullptr : before->find(service);
+    return previous == nullptr ? nullptr : previous->find(service);
 }
 
-endpoint_pointer endpoint_before(const service_route* before, const control::endpoint_config& config)
+endpoint_pointer previous_endpoint(const service_route* previous, const control::endpoint_config& config)
 {
-    if (before == nullptr)
+    if (previous == nullptr)
     {
         return nullptr;
     }
     const auto found =
-        std::find_if(before->endpoints.begin(),
-                     before->endpoints.end(),
+        std::find_if(previous->endpoints.begin(),
+                     previous->endpoints.end(),
                      [&config](const endpoint_pointer& one)
                      {
                          return one->address() == config.address && one->slots().worker() == config.worker;
                      });
-    return found == before->endpoints.end() ? nullptr : *found;
+    return found == previous->endpoints.end() ? nullptr : *found;
 }
 
-std::int64_t expected_time(const endpoint_state& endpoint, std::string_view own_zone)
+std::int64_t endpoint_cost_us(const endpoint_state& endpoint, std::string_view own_zone)
 {
     const std::int64_t granted = std::max<std::int64_t>(1, endpoint.slots().granted());
     const std::int64_t used = endpoint.slots().used();
-    const std::int64_t busy = endpoint.expected_us() * (granted + used) / granted;
+    const std::int64_t busy = endpoint.smoothed_latency_us() * (granted + used) / granted;
     return busy + (endpoint.availability_zone() == own_zone ? 0 : cross_zone_round_trip_us);
 }
 
@@ -72,7 +72,7 @@
 }
 
 std::unique_ptr<route_table> make_table(const control::configuration& config,
-                                        const route_table* before,
+                                        const route_table* previous,
                                         const std::set<std::string>& leaving,
                                         time_point now,
                                         const table_options& options)
@@ -82,7 +82,7 @@
     for (const auto& [name, service] : config.services)
     {
         service_route& route = next->services[name];
-        const service_route* old = route_before(before, name);
+        const service_route* old = previous_route(previous, name);
         route.config = service;
         route.state =
             old != nullptr
@@ -90,9 +90,9 @@
                 : service_pointer(new service_state(name, options.retry_percent, options.retry_reserve));
         for (const control::endpoint_config& endpoint : service.endpoints)
         {
-            slots_pointer slots = slots_of(endpoint.worker, before, *next);
+            slots_pointer slots = find_or_create_slots(endpoint.worker, previous, *next);
             slots->set_connections_per_slot(service.connections_per_worker / service.slots_per_worker);
-            endpoint_pointer state = endpoint_before(old, endpoint);
+            endpoint_pointer state = previous_endpoint(old, endpoint);
             if (state == nullptr)
             {
                 state = endpoint_pointer(new endpoint_state(
@@ -118,7 +118,7 @@
     }
     const std::size_t start = random % count;
     endpoint_state* best = nullptr;
-    std::int64_t best_time = 0;
+    std::int64_t best_cost_us = 0;
     std::size_t seen = 0;
     for (std::size_t step = 0; step < count && seen < max_candidates; ++step)
     {
@@ -130,11 +130,11 @@
             continue;
         }
         ++seen;
-        const std::int64_t time = expected_time(candidate, own_zone);
-        if (best == nullptr || time < best_time)
+        const std::int64_t time = endpoint_cost_us(candidate, own_zone);
+        if (best == nullptr || time < best_cost_us)
         {
             best = &candidate;
-            best_time = time;
+            best_cost_us = time;
         }
     }
     if (best != nullptr && best->slots().acquire())
@@ -179,9 +179,9 @@
     std::vector<std::int64_t> times;
     for (const endpoint_pointer& one : route.endpoints)
     {
-        if (one->expected_us() > 0)
+        if (one->smoothed_latency_us() > 0)
         {
-            times.push_back(one->expected_us());
+            times.push_back(one->smoothed_latency_us());
         }
     }
     if (times.size() < min_peers)
@@ -194,7 +194,7 @@
     std::size_t tripped = 0;
     for (const endpoint_pointer& one : route.endpoints)
     {
-        if (one->expected_us() > limit && !one->is_excluded(now) &&
+        if (one->smoothed_latency_us() > limit && !one->is_excluded(now) &&
             may_open_guard(route, now, max_share_percent))
         {
             one->trip(now);
@@ -211,7 +211,7 @@
     input.max_in_flight = route.config.max_in_flight;
     input.waiting = route.state->waiting.load(std::memory_order_relaxed);
     input.max_waiting = route.config.max_waiting;
-    input.mean_us = route.state->mean_us();
+    input.mean_slot_time_us = route.state->mean_slot_time_us();
     input.left = left;
     for (const endpoint_pointer& one : route.endpoints)
     {
--- a/src/entry/server.cpp
+++ b/src/entry/server.cpp
@@ -15,7 +15,7 @@
 namespace
 {
 
-constexpr const char* part = "entry";
+constexpr const char* log_component = "entry";
 constexpr auto lame_duck = milliseconds(500); // minimum time between readiness off and closing the listener
 constexpr auto drain_poll = milliseconds(20);
 
@@ -74,8 +74,8 @@
         {
             run_reports();
         });
-    PLUMSPOKE_LOG(INFO, part) << "Started as " << settings_.name << " in " << settings_.availability_zone
-                              << ".";
+    PLUMSPOKE_LOG(INFO, log_component)
+        << "Started as " << settings_.name << " in " << settings_.availability_zone << ".";
     return {};
 }
 
@@ -85,25 +85,25 @@
     http_->begin_drain();
     const time_point began = std::chrono::steady_clock::now();
     const time_point latest = began + milliseconds(settings_.drain_ms);
-    time_point quiet_since = began;
+    time_point idle_since = began;
     while (std::chrono::steady_clock::now() < latest)
     {
         std::this_thread::sleep_for(drain_poll);
         const time_point now = std::chrono::steady_clock::now();
         if (http_->in_flight() > 0 || http_->open_connections() > 0)
         {
-            quiet_since = now;
+            idle_since = now;
         }
-        if (now > began + lame_duck && now > quiet_since + lame_duck / 2)
+        if (now > began + lame_duck && now > idle_since + lame_duck / 2)
         {
             break;
         }
     }
-    const bool cut = http_->in_flight() > 0;
-    if (cut)
+    const bool requests_remain = http_->in_flight() > 0;
+    if (requests_remain)
     {
-        PLUMSPOKE_LOG(ERROR, part) << "Requests are still in flight after " << settings_.drain_ms
-                                   << " ms. Waiting for their deadlines.";
+        PLUMSPOKE_LOG(ERROR, log_component) << "Requests are still in flight after " << settings_.drain_ms
+                                            << " ms. Waiting for their deadlines.";
     }
     http_->stop(); // joins the threads that are still answering
     error::check_invariant(
@@ -116,7 +116,7 @@
     {
         return;
     }
-    PLUMSPOKE_LOG(INFO, part) << "Stopping. Readiness is off.";
+    PLUMSPOKE_LOG(INFO, log_component) << "Stopping. Readiness is off.";
     drain();
     reporter_wake_.notify_all();
     if (reporter_.joinable())
@@ -131,7 +131,7 @@
     last.version_in_force = version_;
     last.leaving = true;
     (void)control_.report(last, milliseconds(settings_.entry_report_ms));
-    PLUMSPOKE_LOG(INFO, part) << "Stopped. Nothing was cut off.";
+    PLUMSPOKE_LOG(INFO, log_component) << "Stopped. All requests were completed.";
 }
 
 // ---- reports to control ------------------------------------------------------------------------
@@ -239,8 +239,8 @@
         const control::configuration config =
             nlohmann::json::parse(reply.configuration).get<control::configuration>();
         publish_table(config);
-        PLUMSPOKE_LOG(INFO, part) << "Version " << config.version << " is in force, by " << config.changed_by
-                                  << ".";
+        PLUMSPOKE_LOG(INFO, log_component) << "Applied configuration version " << config.version
+                                           << ", changed by " << config.changed_by << ".";
     }
     apply_grants(reply.granted);
     lease_end_us_ = to_microseconds(sent_at + reply.lease);
--- a/src/entry/slot_queue.cpp
+++ b/src/entry/slot_queue.cpp
@@ -37,7 +37,10 @@
     }
 }
 
-bool slot_queue::wait(const void* service, bool latency_critical, time_point until, const attempt& try_now)
+bool slot_queue::wait(const void* service,
+                      bool latency_critical,
+                      time_point until,
+                      const acquire_function& try_acquire)
 {
     waiter self;
     self.service = service;
@@ -45,8 +48,8 @@
     std::unique_lock lock(mutex_);
     insert(self);
     waiting_.fetch_add(1);
-    critical_.fetch_add(latency_critical ? 1 : 0);
-    bool taken = try_now(); // a slot may have been released before this waiter was in the queue
+    waiting_critical_.fetch_add(latency_critical ? 1 : 0);
+    bool taken = try_acquire(); // a slot may have been released before this waiter was in the queue
     while (!taken)
     {
         const bool in_time = self.wake.wait_until(lock,
@@ -56,7 +59,7 @@
                                                       return self.woken;
                                                   });
         self.woken = false;
-        taken = try_now();
+        taken = try_acquire();
         if (!in_time)
         {
             break;
@@ -69,7 +72,7 @@
     }
     waiters_.erase(waiter_list::s_iterator_to(self));
     waiting_.fetch_sub(1);
-    critical_.fetch_sub(latency_critical ? 1 : 0);
+    waiting_critical_.fetch_sub(latency_critical ? 1 : 0);
     return taken;
 }
 
--- a/tests/src/unit-entry_decisions.cpp
+++ b/tests/src/unit-entry_decisions.cpp
@@ -124,14 +124,14 @@
     CHECK_FALSE(budget.try_consume());
     for (int i = 0; i < 9; ++i)
     {
-        budget.note_request();
+        budget.record_request();
     }
     CHECK_FALSE(budget.try_consume());
-    budget.note_request();
+    budget.record_request();
     CHECK(budget.try_consume());
     for (int i = 0; i < 1000; ++i)
     {
-        budget.note_request();
+        budget.record_request();
     }
     CHECK(budget.try_consume());
     CHECK(budget.try_consume());
@@ -144,7 +144,7 @@
     input.slots = 8;
     input.usable = 2;
     input.max_waiting = 10;
-    input.mean_us = 10'000;
+    input.mean_slot_time_us = 10'000;
     input.left = milliseconds(100);
 
     SECTION("admits a request that can meet its deadline")
@@ -154,7 +154,7 @@
     SECTION("refuses at once a request that would miss its deadline, with a retry delay")
     {
         input.waiting = 9;
-        input.mean_us = 80'000;
+        input.mean_slot_time_us = 80'000;
         const auto refused = admit(input);
         REQUIRE(refused.has_value());
         CHECK(refused->reason == refusal::cannot_meet_deadline);
@@ -187,24 +187,24 @@
     endpoint::guard self(options);
     for (int i = 0; i < 2; ++i)
     {
-        self.note_failure(start, true);
+        self.record_failure(start, true);
     }
     CHECK(self.permits(start));
-    self.note_failure(start, true);
+    self.record_failure(start, true);
     CHECK_FALSE(self.permits(start + milliseconds(999)));
 
     SECTION("permits one trial request after the open time")
     {
         CHECK(self.permits(start + milliseconds(1000)));
-        self.note_sent(start + milliseconds(1000));
+        self.record_sent(start + milliseconds(1000));
         CHECK_FALSE(self.permits(start + milliseconds(1001)));
-        self.note_success();
+        self.record_success();
         CHECK(self.permits(start + milliseconds(1002)));
     }
     SECTION("doubles the open time after a failed trial")
     {
-        self.note_sent(start + milliseconds(1000));
-        self.note_failure(start + milliseconds(1001), true);
+        self.record_sent(start + milliseconds(1000));
+        self.record_failure(start + milliseconds(1001), true);
         CHECK_FALSE(self.permits(start + milliseconds(3000)));
         CHECK(self.permits(start + milliseconds(3001)));
     }
@@ -213,7 +213,7 @@
         endpoint::guard other(options);
         for (int i = 0; i < 9; ++i)
         {
-            other.note_failure(start, false);
+            other.record_failure(start, false);
         }
         CHECK(other.permits(start));
     }
@@ -262,7 +262,7 @@
     {
         for (int i = 0; i < 5; ++i)
         {
-            route.endpoints[0]->note_failure(start, may_open_guard(route, start, 50));
+            route.endpoints[0]->record_failure(start, may_open_guard(route, start, 50));
         }
         CHECK(route.endpoints[0]->is_excluded(start));
         CHECK(may_open_guard(route, start, 50));
@@ -273,15 +273,15 @@
     {
         for (int i = 0; i < 3; ++i)
         {
-            route.endpoints[static_cast<std::size_t>(i)]->note_success(i == 2 ? seconds(1)
-                                                                              : milliseconds(10));
+            route.endpoints[static_cast<std::size_t>(i)]->record_success(i == 2 ? seconds(1)
+                                                                                : milliseconds(10));
         }
         CHECK(exclude_slow_endpoints(route, start, 50) == 1);
         CHECK(route.endpoints[2]->is_excluded(start));
     }
     SECTION("keeps the endpoint state across configuration versions")
     {
-        route.endpoints[0]->note_success(milliseconds(7));
+        route.endpoints[0]->record_success(milliseconds(7));
         control::configuration changed = one_service(5);
         changed.version = 2;
         const std::unique_ptr<route_table> next = make_table(changed, table.get(), {}, start, {});
--- a/tests/world/entry.cpp
+++ b/tests/world/entry.cpp
@@ -284,7 +284,7 @@
         return;
     }
     live->flow->begin_attempt();
-    target->note_sent(now());
+    target->record_sent(now());
     auto abandoned = std::make_shared<bool>(false);
     auto ended = std::make_shared<bool>(false);
     connections_.push_back(abandoned);
@@ -371,12 +371,12 @@
     if (end.error)
     {
         target->slots().schedule_release(now() + 2 * live->asked.deadline);
-        target->note_failure(now(), true);
+        target->record_failure(now(), true);
     }
     else
     {
         target->slots().release();
-        target->note_success(milliseconds(20));
+        target->record_success(milliseconds(20));
     }
     const entry::retry_decision decided = live->flow->decide(now(), end, live->state->budget());
     if (std::holds_alternative<entry::retry_attempt>(decided))
