--- a/include/plumspoke/entry/server.hpp
+++ b/include/plumspoke/entry/server.hpp
@@ -60,7 +60,7 @@
     // ---- reports to control
     void run_reports();
     void report_once();
-    void release_abandoned();
+    void release_abandoned_slots();
     void take_orders(const report_reply& reply, time_point sent_at);
     void apply_grants(std::span<const control::slot_share> granted);
     void publish_table(const control::configuration& config);
--- a/src/endpoint/connection.cpp
+++ b/src/endpoint/connection.cpp
@@ -73,7 +73,7 @@
     }
 }
 
-bool is_hop_by_hop(beast::string_view name)
+bool is_dropped_header(beast::string_view name)
 {
     constexpr std::array<std::string_view, 6> names = {
         "connection", "keep-alive", "transfer-encoding", "content-length", "content-type", "upgrade"};
@@ -93,7 +93,7 @@
     result.answer.content_type.assign(type.data(), type.size());
     for (const auto& field : message)
     {
-        if (!is_hop_by_hop(field.name_string()))
+        if (!is_dropped_header(field.name_string()))
         {
             result.answer.headers.push_back({std::string(field.name_string()), std::string(field.value())});
         }
--- a/src/entry/call.cpp
+++ b/src/entry/call.cpp
@@ -38,31 +38,31 @@
 /// A caller may shorten the service's deadline, never extend it.
 duration deadline_of(const control::service_config& config, const http::request& received)
 {
-    const duration longest = milliseconds(config.answer_within_ms);
-    const std::string_view asked = http::find_header(received.headers, "Plumspoke-Deadline-Ms");
-    std::int64_t asked_ms = 0;
-    const auto parsed = std::from_chars(asked.data(), asked.data() + asked.size(), asked_ms);
-    if (asked.empty() || parsed.ec != std::errc() || asked_ms <= 0)
+    const duration service_limit = milliseconds(config.answer_within_ms);
+    const std::string_view requested = http::find_header(received.headers, "Plumspoke-Deadline-Ms");
+    std::int64_t requested_ms = 0;
+    const auto parsed = std::from_chars(requested.data(), requested.data() + requested.size(), requested_ms);
+    if (requested.empty() || parsed.ec != std::errc() || requested_ms <= 0)
     {
-        return longest;
+        return service_limit;
     }
-    return std::min<duration>(longest,
-                              milliseconds(std::min<std::int64_t>(asked_ms, config.answer_within_ms)));
+    return std::min<duration>(service_limit,
+                              milliseconds(std::min<std::int64_t>(requested_ms, config.answer_within_ms)));
 }
 
 bool is_forwarded(std::string_view name)
 {
-    constexpr std::array<std::string_view, 9> own = {"Host",
-                                                     "Connection",
-                                                     "Content-Length",
-                                                     "Transfer-Encoding",
-                                                     "Keep-Alive",
-                                                     "Upgrade",
-                                                     "Expect",
-                                                     "Plumspoke-Unsafe",
-                                                     "Plumspoke-Deadline-Ms"};
-    return std::none_of(own.begin(),
-                        own.end(),
+    constexpr std::array<std::string_view, 9> not_forwarded = {"Host",
+                                                               "Connection",
+                                                               "Content-Length",
+                                                               "Transfer-Encoding",
+                                                               "Keep-Alive",
+                                                               "Upgrade",
+                                                               "Expect",
+                                                               "Plumspoke-Unsafe",
+                                                               "Plumspoke-Deadline-Ms"};
+    return std::none_of(not_forwarded.begin(),
+                        not_forwarded.end(),
                         [name](std::string_view one)
                         {
                             return http::same_name(one, name);
@@ -101,10 +101,10 @@
     }
     if (call.state == nullptr)
     {
-        const bool told_routes = version_.load() > 0 && serving(now);
-        const refusal reason = told_routes ? refusal::unknown_service : refusal::not_serving;
+        const bool has_configuration = version_.load() > 0 && serving(now);
+        const refusal reason = has_configuration ? refusal::unknown_service : refusal::not_serving;
         refusals_.at(static_cast<std::size_t>(reason)).add();
-        return call.refusal_response(reason, outcome::not_run, seconds(1), told_routes ? 404 : 503);
+        return call.refusal_response(reason, outcome::not_run, seconds(1), has_configuration ? 404 : 503);
     }
     call.state->requests.add();
     call.state->budget().record_request();
@@ -120,7 +120,7 @@
     {
         return refuse(call, refusal::not_serving, outcome::not_run, seconds(1));
     }
-    if (!call.safe && !call.key.empty())
+    if (!call.safe && !call.idempotency_key.empty())
     {
         return process_claimed_call(call);
     }
@@ -130,13 +130,13 @@
 /// Claims the idempotency key of an unsafe request first, so that it is sent once across all entries.
 http::response server::process_claimed_call(call_context& call)
 {
-    claim_request asked;
-    asked.service = call.service;
-    asked.key = call.key;
-    asked.digest = call.digest();
-    asked.requester = settings_.name + "/" + incarnation_ + "/" + std::to_string(call.number);
-    asked.deadline = std::chrono::duration_cast<duration>(call.flow->deadline() - call.started);
-    const std::optional<claim_reply> claimed = control_.claim(asked, call.flow->deadline());
+    claim_request request;
+    request.service = call.service;
+    request.key = call.idempotency_key;
+    request.digest = call.digest();
+    request.requester = settings_.name + "/" + incarnation_ + "/" + std::to_string(call.number);
+    request.deadline = std::chrono::duration_cast<duration>(call.flow->deadline() - call.started);
+    const std::optional<claim_reply> claimed = control_.claim(request, call.flow->deadline());
     if (!claimed.has_value())
     {
         return refuse(call, refusal::claim_not_possible, outcome::not_run, seconds(1));
@@ -166,7 +166,7 @@
     http::response result = attempt_loop(call);
     claim_outcome ended;
     ended.service = call.service;
-    ended.key = call.key;
+    ended.key = call.idempotency_key;
     ended.claim = claimed->claim;
     ended.status = result.status;
     ended.state = call.reported == outcome::done      ? control::claim_state::done
@@ -352,7 +352,7 @@
         {
             // The endpoint may still process the request, so its slot is released only after twice the
             // longest answer time.
-            target->slots().schedule_release(std::chrono::steady_clock::now() + 2 * call.longest);
+            target->slots().schedule_release(std::chrono::steady_clock::now() + 2 * call.max_answer_time);
         }
         else
         {
--- a/src/entry/call_context.cpp
+++ b/src/entry/call_context.cpp
@@ -10,12 +10,12 @@
 {
     service = route.config.name;
     state = route.state;
-    longest = milliseconds(route.config.answer_within_ms);
+    max_answer_time = milliseconds(route.config.answer_within_ms);
     latency_critical = route.config.latency_critical;
     const bool marked_unsafe = !http::find_header(received.headers, "Plumspoke-Unsafe").empty();
     safe =
         route.config.safe_to_repeat && !marked_unsafe; // a caller can mark a request as unsafe, never as safe
-    key = http::find_header(received.headers, "Idempotency-Key");
+    idempotency_key = http::find_header(received.headers, "Idempotency-Key");
     endpoint_target = received.path.substr(std::min(received.path.size(), service.size() + 1));
     endpoint_target = endpoint_target.empty() ? "/" : endpoint_target;
     endpoint_target += received.query.empty() ? "" : "?" + received.query;
@@ -24,8 +24,8 @@
 
 std::string call_context::digest() const
 {
-    const std::string whole = received.method + '\n' + endpoint_target + '\n' + received.body;
-    const XXH128_hash_t hash = XXH3_128bits(whole.data(), whole.size());
+    const std::string content = received.method + '\n' + endpoint_target + '\n' + received.body;
+    const XXH128_hash_t hash = XXH3_128bits(content.data(), content.size());
     return std::to_string(hash.high64) + "-" + std::to_string(hash.low64);
 }
 
--- a/src/entry/call_context.hpp
+++ b/src/entry/call_context.hpp
@@ -36,10 +36,10 @@
     std::uint64_t number;
     std::string service;
     std::string endpoint_target; // path and query sent to the endpoint
-    std::string key;
+    std::string idempotency_key;
     service_pointer state;
     bool safe = false;
-    duration longest{}; // time limit of the service for an answer
+    duration max_answer_time{}; // time limit of the service for an answer
     bool latency_critical = true;
     std::optional<request_flow> flow;
     std::vector<const endpoint_state*> tried;
--- a/src/entry/server.cpp
+++ b/src/entry/server.cpp
@@ -188,7 +188,7 @@
     return report;
 }
 
-void server::release_abandoned()
+void server::release_abandoned_slots()
 {
     const time_point now = std::chrono::steady_clock::now();
     std::size_t released = 0;
@@ -214,7 +214,7 @@
 {
     const time_point sent_at = std::chrono::steady_clock::now();
     const duration limit = milliseconds(settings_.entry_lease_ms) / 4;
-    release_abandoned();
+    release_abandoned_slots();
     const std::optional<report_reply> reply = control_.report(make_report(), limit);
     if (!reply.has_value())
     {
