--- a/src/endpoint/error.cpp
+++ b/src/endpoint/error.cpp
@@ -10,13 +10,13 @@
 
 constexpr std::array<error::listed_error, 9> errors = {{
     {700, "connect_refused", "the endpoint refused the connection; nothing was sent"},
-    {701, "connect_timeout", "connecting to the endpoint timed out; nothing was sent"},
-    {702, "write_failed", "the connection failed while the request was written"},
-    {703, "answer_timeout", "no complete answer arrived before the deadline"},
-    {704, "closed_before_answer", "the endpoint closed the connection before answering"},
-    {705, "truncated_answer", "the endpoint closed the connection in the middle of its answer"},
-    {706, "garbled_answer", "the answer is not valid HTTP"},
-    {707, "answer_too_large", "the answer exceeds the size limit"},
+    {701, "connect_timeout", "the endpoint did not take the connection in time; nothing was sent"},
+    {702, "write_failed", "the connection broke while the request was written"},
+    {703, "answer_timeout", "no whole answer came in time"},
+    {704, "closed_before_answer", "the endpoint closed the connection before it answered"},
+    {705, "truncated_answer", "the endpoint closed the connection within its answer"},
+    {706, "garbled_answer", "the answer is not HTTP"},
+    {707, "answer_too_large", "the answer is larger than the limit"},
     {708, "bad_address", "the endpoint's address is not IP:PORT"},
 }};
 
