--- a/include/plumspoke/entry/server.hpp
+++ b/include/plumspoke/entry/server.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief The entry role's shell: callers' HTTP, calls to endpoints, reports to control.
+/// @brief The entry server: serves callers over HTTP, calls endpoints and reports to control.
 
 #include "plumspoke/entry/control_client.hpp"
 #include "plumspoke/entry/rcu.hpp"
@@ -14,7 +14,7 @@
 namespace plumspoke::entry
 {
 
-/// @brief A request on its way, with all that its decisions need.
+/// @brief State of one request while it is handled.
 struct call_context;
 
 /// @brief One entry process.
@@ -30,7 +30,8 @@
 
     [[nodiscard]] std::error_code start();
 
-    /// @brief A planned stop: readiness off, what is in flight ends whole, slots are given back.
+    /// @brief Graceful stop: turns readiness off, completes requests in flight and returns all slots to
+    /// control.
     void stop();
     /// @}
 
@@ -38,24 +39,28 @@
     [[nodiscard]] http::response answer(const http::request& received);
 
   private:
-    // ---- a request's path
+    // ---- request handling
     [[nodiscard]] http::response answer_call(const http::request& received, std::string_view service);
-    [[nodiscard]] http::response carry(call_context& call);
-    [[nodiscard]] http::response carry_claimed(call_context& call);
-    [[nodiscard]] endpoint_pointer take_slot(call_context& call, std::optional<admission_refusal>& refused);
-    [[nodiscard]] endpoint_pointer try_slot(const call_context& call);
+    [[nodiscard]] http::response process_call(call_context& call);
+    [[nodiscard]] http::response process_claimed_call(call_context& call);
+    [[nodiscard]] endpoint_pointer acquire_slot(call_context& call,
+                                                std::optional<admission_refusal>& refused);
+    [[nodiscard]] endpoint_pointer try_acquire_slot(const call_context& call);
     [[nodiscard]] http::response attempt_loop(call_context& call);
     [[nodiscard]] endpoint::exchange_result attempt(call_context& call, endpoint_state& target);
-    void learn(const call_context& call, endpoint_state& target, const attempt_end& end, duration took);
+    void record_attempt(const call_context& call,
+                        endpoint_state& target,
+                        const attempt_result& end,
+                        duration took);
     [[nodiscard]] http::response
-    refuse(call_context& call, refusal reason, outcome told, duration retry_after);
-    [[nodiscard]] http::response finish(call_context& call, http::response answer, outcome told);
+    refuse(call_context& call, refusal reason, outcome reported, duration retry_after);
+    [[nodiscard]] http::response finish(call_context& call, http::response answer, outcome reported);
     [[nodiscard]] bool serving(time_point now) const noexcept;
 
     // ---- reports to control
     void run_reports();
     void report_once();
-    void release_abandoned();
+    void release_abandoned_slots();
     void take_orders(const report_reply& reply, time_point sent_at);
     void apply_grants(std::span<const control::slot_share> granted);
     void publish_table(const control::configuration& config);
@@ -63,7 +68,7 @@
     [[nodiscard]] control::entry_report make_report();
     void drain();
 
-    // ---- pages
+    // ---- administration pages
     [[nodiscard]] http::response admin_page(const http::request& received);
     [[nodiscard]] std::string metrics_text();
 
@@ -73,19 +78,19 @@
     std::unique_ptr<http::server> http_;
     vm_list::poller platform_;
 
-    rcu_cell<route_table> table_;
+    rcu_pointer<route_table> table_;
     slot_queue queue_;
     std::atomic<std::int64_t> lease_end_us_{0};
     std::atomic<bool> draining_{false};
     std::atomic<std::uint64_t> next_request_{1};
     std::atomic<std::uint64_t> version_{0};
 
-    std::mutex writer_mutex_; // one writer of the table at a time
+    std::mutex writer_mutex_; // serializes changes of the route table
     control::configuration config_;
     std::set<std::string> leaving_;
     std::uint64_t report_sequence_ = 0;
 
-    std::array<metrics::counter, refusal_count> refusals_; // of requests that belong to no service
+    std::array<metrics::counter, refusal_count> refusals_; // of requests for no known service
     metrics::counter reports_answered_;
     metrics::counter reports_unanswered_;
     metrics::counter guards_tripped_slow_;
--- a/src/endpoint/connection.cpp
+++ b/src/endpoint/connection.cpp
@@ -48,7 +48,7 @@
            inet_pton(AF_INET, address.substr(0, colon).c_str(), &result.sin_addr) == 1;
 }
 
-/// Waits for a socket; false where the deadline came first.
+/// Waits until the socket is ready; returns false on the deadline or a poll error.
 bool wait_for(int socket, short events, time_point deadline)
 {
     while (true)
@@ -59,9 +59,9 @@
             return false;
         }
         pollfd waited{socket, events, 0};
-        constexpr std::int64_t longest_wait = 60'000;
+        constexpr std::int64_t max_poll_ms = 60'000;
         const int ready =
-            ::poll(&waited, 1, static_cast<int>(std::min<std::int64_t>(left.count(), longest_wait)));
+            ::poll(&waited, 1, static_cast<int>(std::min<std::int64_t>(left.count(), max_poll_ms)));
         if (ready > 0)
         {
             return true;
@@ -73,7 +73,7 @@
     }
 }
 
-bool is_hop_by_hop(beast::string_view name)
+bool is_dropped_header(beast::string_view name)
 {
     constexpr std::array<std::string_view, 6> names = {
         "connection", "keep-alive", "transfer-encoding", "content-length", "content-type", "upgrade"};
@@ -85,7 +85,7 @@
                        });
 }
 
-void take_answer(answer_parser& parser, exchange_result& result)
+void store_answer(answer_parser& parser, exchange_result& result)
 {
     auto message = parser.release();
     result.answer.status = static_cast<int>(message.result_int());
@@ -93,7 +93,7 @@
     result.answer.content_type.assign(type.data(), type.size());
     for (const auto& field : message)
     {
-        if (!is_hop_by_hop(field.name_string()))
+        if (!is_dropped_header(field.name_string()))
         {
             result.answer.headers.push_back({std::string(field.name_string()), std::string(field.value())});
         }
@@ -103,7 +103,7 @@
     result.reached = progress::answered;
 }
 
-std::error_code error_of(const beast::error_code& failed)
+std::error_code to_error_code(const beast::error_code& failed)
 {
     if (failed == beast::http::error::body_limit || failed == beast::http::error::header_limit)
     {
@@ -112,8 +112,8 @@
     return errc::garbled_answer;
 }
 
-/// Feeds what arrived to the parser; true once the answer is whole.
-bool feed(answer_parser& parser, std::string& buffer, std::error_code& error)
+/// Parses the buffered data; returns true once the answer is complete.
+bool parse_buffered(answer_parser& parser, std::string& buffer, std::error_code& error)
 {
     while (!buffer.empty() && !parser.is_done())
     {
@@ -126,7 +126,7 @@
         }
         if (failed)
         {
-            error = error_of(failed);
+            error = to_error_code(failed);
             return false;
         }
     }
@@ -139,9 +139,9 @@
 {
     if (socket_ >= 0)
     {
-        if (outstanding_)
+        if (answer_pending_)
         {
-            // An abandoned request: a reset tells the endpoint, and drops what has not left this machine.
+            // Abandoned request: a reset notifies the endpoint and discards unsent data.
             const linger reset{1, 0};
             ::setsockopt(socket_, SOL_SOCKET, SO_LINGER, &reset, sizeof reset);
         }
@@ -215,8 +215,8 @@
 exchange_result connection::exchange(std::string_view request, time_point deadline, std::size_t max_answer)
 {
     error::check_invariant(
-        error::invariant::answer_to_own_caller, !outstanding_, "endpoint::connection::exchange");
-    outstanding_ = true;
+        error::invariant::answer_to_own_caller, !answer_pending_, "endpoint::connection::exchange");
+    answer_pending_ = true;
     exchange_result result;
     result.error = write_all(request, deadline, result.reached);
     if (result.error)
@@ -227,13 +227,13 @@
     parser.body_limit(max_answer);
     parser.header_limit(max_answer_header);
     parser.eager(true);
-    parser.skip(request.starts_with("HEAD ")); // its answer has a length and no body
+    parser.skip(request.starts_with("HEAD ")); // the answer to HEAD may have a Content-Length but has no body
     std::string buffer;
     std::array<char, read_chunk> chunk{};
     bool anything_read = false;
     while (true)
     {
-        if (!wait_for(socket_, POLLIN, deadline)) // first: an answer is never there at once
+        if (!wait_for(socket_, POLLIN, deadline)) // poll first: the answer is never available immediately
         {
             result.error = errc::answer_timeout;
             return result;
@@ -248,13 +248,13 @@
             beast::error_code failed;
             if (count == 0 && anything_read && !parser.is_done())
             {
-                parser.put_eof(failed); // whole only where the answer's end is the connection's end
+                parser.put_eof(failed); // complete only if the body is delimited by the end of the connection
             }
             if (count == 0 && anything_read && !failed && parser.is_done())
             {
-                take_answer(parser, result);
+                store_answer(parser, result);
                 result.reusable = false;
-                outstanding_ = false;
+                answer_pending_ = false;
                 return result;
             }
             result.error = anything_read ? errc::truncated_answer : errc::closed_before_answer;
@@ -262,18 +262,18 @@
         }
         anything_read = true;
         buffer.append(chunk.data(), static_cast<std::size_t>(count));
-        const bool whole = feed(parser, buffer, result.error);
+        const bool complete = parse_buffered(parser, buffer, result.error);
         if (parser.get().body().size() > max_answer || parser.content_length().value_or(0) > max_answer)
         {
-            // Beast's own limit let a body through that came together with its header (1.74).
+            // Boost.Beast 1.74 does not apply its body limit to a body that arrives together with the header.
             result.error = errc::answer_too_large;
             return result;
         }
-        if (whole)
+        if (complete)
         {
-            take_answer(parser, result);
-            outstanding_ = false;
-            result.reusable = result.reusable && buffer.empty(); // more than was asked for: never reused
+            store_answer(parser, result);
+            answer_pending_ = false;
+            result.reusable = result.reusable && buffer.empty(); // unsolicited data follows: never reuse
             return result;
         }
         if (result.error)
@@ -283,7 +283,7 @@
     }
 }
 
-bool connection::idle_and_open() const noexcept
+bool connection::is_idle_and_open() const noexcept
 {
     char byte = 0;
     const ssize_t count = ::recv(socket_, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
--- a/src/endpoint/guard.cpp
+++ b/src/endpoint/guard.cpp
@@ -14,13 +14,13 @@
     case state::open:
         return now >= open_until_;
     case state::trial:
-        // A trial that never ended must not keep the endpoint out for good.
+        // A trial that never ends must not exclude the endpoint forever.
         return now >= trial_since_ + options_.open_for;
     }
     return true;
 }
 
-void guard::note_sent(time_point now) noexcept
+void guard::record_sent(time_point now) noexcept
 {
     if (state_ != state::closed && permits(now))
     {
@@ -29,26 +29,26 @@
     }
 }
 
-void guard::note_success() noexcept
+void guard::record_success() noexcept
 {
     state_ = state::closed;
-    failures_in_row_ = 0;
-    openings_ = 0;
+    consecutive_failures_ = 0;
+    consecutive_openings_ = 0;
 }
 
 void guard::open(time_point now) noexcept
 {
-    const int doubling = std::min(openings_, options_.longest_doubling);
+    const int doubling = std::min(consecutive_openings_, options_.max_doublings);
     state_ = state::open;
     open_until_ = now + options_.open_for * (1 << doubling);
-    ++openings_;
+    ++consecutive_openings_;
 }
 
-void guard::note_failure(time_point now, bool may_open) noexcept
+void guard::record_failure(time_point now, bool may_open) noexcept
 {
-    ++failures_in_row_;
+    ++consecutive_failures_;
     if (state_ == state::trial ||
-        (state_ == state::closed && failures_in_row_ >= options_.failures && may_open))
+        (state_ == state::closed && consecutive_failures_ >= options_.failures && may_open))
     {
         open(now);
     }
--- a/src/entry/endpoint_state.cpp
+++ b/src/entry/endpoint_state.cpp
@@ -6,8 +6,9 @@
 namespace
 {
 
-constexpr auto no_need_to_look = milliseconds(5); // an endpoint hardly closes what it has just answered on
-constexpr std::int64_t smoothing = 8;             // a new time counts an eighth
+constexpr auto skip_check_within =
+    milliseconds(5);                  // an endpoint rarely closes a connection right after its answer
+constexpr std::int64_t smoothing = 8; // weight of a new sample is one eighth
 
 } // namespace
 
@@ -43,13 +44,13 @@
     listed_leaving_.store(leaving, std::memory_order_release);
 }
 
-void endpoint_state::note_said_leaving(time_point now, time_point until) noexcept
+void endpoint_state::record_self_reported_leaving(time_point now, time_point until) noexcept
 {
     if (!leaving(now))
     {
         leaving_since_us_.store(to_microseconds(now), std::memory_order_release);
     }
-    said_leaving_until_us_.store(to_microseconds(until), std::memory_order_release);
+    self_reported_leaving_until_us_.store(to_microseconds(until), std::memory_order_release);
 }
 
 bool endpoint_state::permits(time_point now) const
@@ -62,39 +63,40 @@
     return guard_.permits(now);
 }
 
-bool endpoint_state::is_out(time_point now) const
+bool endpoint_state::is_excluded(time_point now) const
 {
     if (guard_closed_.load(std::memory_order_acquire))
     {
         return false;
     }
     const std::lock_guard lock(mutex_);
-    return guard_.is_out(now);
+    return guard_.is_excluded(now);
 }
 
-void endpoint_state::note_sent(time_point now)
+void endpoint_state::record_sent(time_point now)
 {
     if (!guard_closed_.load(std::memory_order_acquire))
     {
         const std::lock_guard lock(mutex_);
-        guard_.note_sent(now);
+        guard_.record_sent(now);
     }
 }
 
-void endpoint_state::note_success(duration took)
+void endpoint_state::record_success(duration took)
 {
-    const std::int64_t before = expected_us();
+    const std::int64_t before = smoothed_latency_us();
     const std::int64_t time = std::max<std::int64_t>(1, took.count());
-    expected_us_.store(before == 0 ? time : before + (time - before) / smoothing, std::memory_order_relaxed);
+    smoothed_latency_us_.store(before == 0 ? time : before + (time - before) / smoothing,
+                               std::memory_order_relaxed);
     const std::lock_guard lock(mutex_);
-    guard_.note_success();
+    guard_.record_success();
     guard_closed_.store(true, std::memory_order_release);
 }
 
-void endpoint_state::note_failure(time_point now, bool may_open)
+void endpoint_state::record_failure(time_point now, bool may_open)
 {
     const std::lock_guard lock(mutex_);
-    guard_.note_failure(now, may_open);
+    guard_.record_failure(now, may_open);
     guard_closed_.store(guard_.current() == endpoint::guard::state::closed, std::memory_order_release);
     close_idle(idle_.size());
 }
@@ -111,11 +113,12 @@
     const std::lock_guard lock(mutex_);
     while (!idle_.empty())
     {
-        std::unique_ptr<endpoint::connection> found(&idle_.back()); // the newest: least likely to be closed
+        std::unique_ptr<endpoint::connection> found(
+            &idle_.back()); // most recently used: least likely to have been closed
         idle_.pop_back();
         slots_->add_idle(-1);
-        const bool just_used = found->idle_since() + no_need_to_look > now;
-        if (found->idle_since() + longest_idle > now && (just_used || found->idle_and_open()))
+        const bool just_used = found->idle_since() + skip_check_within > now;
+        if (found->idle_since() + longest_idle > now && (just_used || found->is_idle_and_open()))
         {
             return found;
         }
--- a/src/entry/pages.cpp
+++ b/src/entry/pages.cpp
@@ -1,4 +1,4 @@
-// The entry's own pages: readiness, status, counters.
+// Administration pages of an entry: liveness, readiness, status and metrics.
 
 #include "plumspoke/entry/server.hpp"
 
@@ -27,7 +27,7 @@
 {
     const std::string service = metrics::label("service", state.name());
     lines.push_back({"plumspoke_requests_total", service, state.requests.value()});
-    lines.push_back({"plumspoke_attempts_total", service, state.sent.value()});
+    lines.push_back({"plumspoke_attempts_total", service, state.attempts.value()});
     for (std::size_t i = 0; i < refusal_count; ++i)
     {
         const std::string reason = metrics::label("reason", to_string(static_cast<refusal>(i)));
@@ -87,8 +87,8 @@
                                      {"slots", one->slots().granted()},
                                      {"used", one->slots().used()},
                                      {"leaving", one->leaving(now)},
-                                     {"out", one->is_out(now)},
-                                     {"expected_us", one->expected_us()}});
+                                     {"out", one->is_excluded(now)},
+                                     {"expected_us", one->smoothed_latency_us()}});
             }
         }
         return json_page(200,
--- a/src/entry/server.cpp
+++ b/src/entry/server.cpp
@@ -15,8 +15,8 @@
 namespace
 {
 
-constexpr const char* part = "entry";
-constexpr auto lame_duck = milliseconds(500); // readiness is off this long before the listener may close
+constexpr const char* log_component = "entry";
+constexpr auto lame_duck = milliseconds(500); // minimum time between readiness off and closing the listener
 constexpr auto drain_poll = milliseconds(20);
 
 table_options make_table_options(const settings::process_settings& settings)
@@ -74,8 +74,8 @@
         {
             run_reports();
         });
-    PLUMSPOKE_LOG(INFO, part) << "Started as " << settings_.name << " in " << settings_.availability_zone
-                              << ".";
+    PLUMSPOKE_LOG(INFO, log_component)
+        << "Started as " << settings_.name << " in " << settings_.availability_zone << ".";
     return {};
 }
 
@@ -85,27 +85,27 @@
     http_->begin_drain();
     const time_point began = std::chrono::steady_clock::now();
     const time_point latest = began + milliseconds(settings_.drain_ms);
-    time_point quiet_since = began;
+    time_point idle_since = began;
     while (std::chrono::steady_clock::now() < latest)
     {
         std::this_thread::sleep_for(drain_poll);
         const time_point now = std::chrono::steady_clock::now();
         if (http_->in_flight() > 0 || http_->open_connections() > 0)
         {
-            quiet_since = now;
+            idle_since = now;
         }
-        if (now > began + lame_duck && now > quiet_since + lame_duck / 2)
+        if (now > began + lame_duck && now > idle_since + lame_duck / 2)
         {
             break;
         }
     }
-    const bool cut = http_->in_flight() > 0;
-    if (cut)
+    const bool requests_remain = http_->in_flight() > 0;
+    if (requests_remain)
     {
-        PLUMSPOKE_LOG(ERROR, part) << "Requests are still in flight after " << settings_.drain_ms
-                                   << " ms. Waiting for their deadlines.";
+        PLUMSPOKE_LOG(ERROR, log_component) << "Requests are still in flight after " << settings_.drain_ms
+                                            << " ms. Waiting for their deadlines.";
     }
-    http_->stop(); // joins the threads that still answer
+    http_->stop(); // joins the threads that are still answering
     error::check_invariant(
         error::invariant::stop_cuts_nothing, http_->in_flight() == 0, "entry::server::drain");
 }
@@ -116,7 +116,7 @@
     {
         return;
     }
-    PLUMSPOKE_LOG(INFO, part) << "Stopping. Readiness is off.";
+    PLUMSPOKE_LOG(INFO, log_component) << "Stopping. Readiness is off.";
     drain();
     reporter_wake_.notify_all();
     if (reporter_.joinable())
@@ -131,7 +131,7 @@
     last.version_in_force = version_;
     last.leaving = true;
     (void)control_.report(last, milliseconds(settings_.entry_report_ms));
-    PLUMSPOKE_LOG(INFO, part) << "Stopped. Nothing was cut off.";
+    PLUMSPOKE_LOG(INFO, log_component) << "Stopped. All requests were completed.";
 }
 
 // ---- reports to control ------------------------------------------------------------------------
@@ -140,7 +140,7 @@
 {
     urcu_memb_register_thread();
     std::unique_lock lock(reporter_mutex_);
-    // The lease is kept up while requests drain: they are still sent under it.
+    // Keep renewing the lease while requests drain, since they are sent under it.
     while (!stopping_ || http_->in_flight() > 0 || http_->open_connections() > 0)
     {
         lock.unlock();
@@ -188,7 +188,7 @@
     return report;
 }
 
-void server::release_abandoned()
+void server::release_abandoned_slots()
 {
     const time_point now = std::chrono::steady_clock::now();
     std::size_t released = 0;
@@ -201,7 +201,7 @@
         }
         for (const auto& [worker, slots] : table->slots)
         {
-            released += slots->release_due(now);
+            released += slots->release_expired(now);
         }
     }
     for (; released > 0; --released)
@@ -214,7 +214,7 @@
 {
     const time_point sent_at = std::chrono::steady_clock::now();
     const duration limit = milliseconds(settings_.entry_lease_ms) / 4;
-    release_abandoned();
+    release_abandoned_slots();
     const std::optional<report_reply> reply = control_.report(make_report(), limit);
     if (!reply.has_value())
     {
@@ -232,15 +232,15 @@
                            "entry::server::take_orders");
     if (reply.version < version_)
     {
-        return; // a leader that knows less can't be one; no lease from it
+        return; // a reply with an older version is not from the current leader, so its lease is ignored
     }
     if (reply.version > version_ && !reply.configuration.empty())
     {
         const control::configuration config =
             nlohmann::json::parse(reply.configuration).get<control::configuration>();
         publish_table(config);
-        PLUMSPOKE_LOG(INFO, part) << "Version " << config.version << " is in force, by " << config.changed_by
-                                  << ".";
+        PLUMSPOKE_LOG(INFO, log_component) << "Applied configuration version " << config.version
+                                           << ", changed by " << config.changed_by << ".";
     }
     apply_grants(reply.granted);
     lease_end_us_ = to_microseconds(sent_at + reply.lease);
@@ -272,7 +272,7 @@
         {
             one->trim_idle();
         }
-        guards_tripped_slow_.add(trip_slow_endpoints(row.second, now, settings_.guard_max_share_percent));
+        guards_tripped_slow_.add(exclude_slow_endpoints(row.second, now, settings_.guard_max_share_percent));
     }
 }
 
