--- a/bench/control.cpp
+++ b/bench/control.cpp
@@ -7,7 +7,7 @@
 #include "plumspoke/control/slot_allocator.hpp"
 #include "plumspoke/logging/logging.hpp"
 #include "plumspoke/replica/grpc_transport.hpp"
-#include "plumspoke/worker/desk.hpp"
+#include "plumspoke/worker/lease_manager.hpp"
 #include "processor_time.hpp"
 
 #include <absl/flags/flag.h>
@@ -317,8 +317,8 @@
             ++index,
             control::report_task{job.spec.id, token, control::task_event::started, "", "", ""});
     }
-    worker::desk desk{worker::desk_options{}};
-    desk.reset(from_microseconds(1));
+    worker::lease_manager lease_manager{worker::lease_manager_options{}};
+    lease_manager.reset(from_microseconds(1));
     control::policy policy{control::policy_options{}};
     worker::report report;
     const auto fill = [&](int w)
@@ -348,8 +348,8 @@
                               const worker::report read =
                                   worker::parse_report(nlohmann::json::parse(sent), faults);
                               std::error_code error;
-                              const worker::desk_output output =
-                                  desk.receive(from_microseconds(1000000 + w), state, read, error);
+                              const worker::report_outcome output =
+                                  lease_manager.receive(from_microseconds(1000000 + w), state, read, error);
                               policy.observe(from_microseconds(1000000 + w), state, read);
                               bytes += sent.size() + nlohmann::json(output.reply).dump().size();
                           });
--- a/include/plumspoke/control/server.hpp
+++ b/include/plumspoke/control/server.hpp
@@ -11,7 +11,7 @@
 #include "plumspoke/replica/grpc_transport.hpp"
 #include "plumspoke/settings/process_settings.hpp"
 #include "plumspoke/vm_list/poller.hpp"
-#include "plumspoke/worker/desk.hpp"
+#include "plumspoke/worker/lease_manager.hpp"
 
 namespace plumspoke::control
 {
@@ -115,7 +115,7 @@
     vm_list::poller platform_;
 
     mutable std::mutex mutex_; // guards the leader's soft state; never held while waiting for the driver
-    worker::desk desk_;
+    worker::lease_manager lease_manager_;
     slot_allocator slot_allocator_;
     claim_expiry claim_expiry_{seconds(2)};
     policy policy_;
--- a/include/plumspoke/worker/error.hpp
+++ b/include/plumspoke/worker/error.hpp
@@ -8,7 +8,7 @@
 namespace plumspoke::worker
 {
 
-/// @brief What a worker's report may be refused for.
+/// @brief Reasons for rejecting a worker's report.
 enum class errc : std::uint16_t
 {
     bad_report = 500,
--- a/include/plumspoke/worker/report.hpp
+++ b/include/plumspoke/worker/report.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief What workers and control say to each other; docs/WORKERS.md is the contract.
+/// @brief Messages between workers and control; docs/WORKERS.md specifies the protocol.
 
 #include "plumspoke/control/model.hpp"
 #include "plumspoke/settings/checker.hpp"
@@ -9,7 +9,7 @@
 namespace plumspoke::worker
 {
 
-/// @brief What a task does, by the worker's word.
+/// @brief State of a task as reported by its worker.
 enum class task_state : std::uint8_t
 {
     running,
@@ -25,7 +25,7 @@
                               {task_state::failed, "failed"},
                               {task_state::stopped, "stopped"}})
 
-/// @brief One task in a report.
+/// @brief State of one task in a report.
 struct task_report
 {
     std::string job;
@@ -34,7 +34,7 @@
     std::string checkpoint;
     std::string result;
     std::string reason;
-    control::resources used; // measured, late; zero: not measured
+    control::resources used; // measured with a delay; 0: not measured
 
     [[nodiscard]] bool ended() const noexcept
     {
@@ -44,17 +44,17 @@
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(
     task_report, job, token, state, checkpoint, result, reason, used)
 
-/// @brief How one service answered on the worker of late.
+/// @brief Recent load and latency of one service on the worker.
 struct service_report
 {
     std::string service;
-    std::int64_t measured_ago_ms = 0; // the lag
+    std::int64_t measured_ago_ms = 0; // age of the measurement
     double load = 0;                  // busy slots as a share of all, 0 to 1
     double p99_ms = 0;
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(service_report, service, measured_ago_ms, load, p99_ms)
 
-/// @brief One report: all that runs there, each time.
+/// @brief A worker's report; always lists every task and service that runs there.
 struct report
 {
     std::string worker;
@@ -69,21 +69,21 @@
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(
     report, worker, incarnation, sequence, availability_zone, rack, capacity, tasks, services)
 
-/// @brief What the worker has to do with one grant.
+/// @brief An instruction to the worker for one grant.
 struct order
 {
     std::string job;
     std::uint64_t token = 0;
     control::task_order order = control::task_order::run;
     std::string work_class;
-    std::string payload;    // with `run` until the task is known to have started
-    std::string checkpoint; // where to go on from
+    std::string payload;    // set with `run` until the task's start is recorded
+    std::string checkpoint; // where to resume from
     control::resources reserved;
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(
     order, job, token, order, work_class, payload, checkpoint, reserved)
 
-/// @brief A grant whose end is recorded; the worker may forget it.
+/// @brief A grant whose end is recorded; the worker may discard it.
 struct settled_task
 {
     std::string job;
@@ -91,7 +91,7 @@
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(settled_task, job, token)
 
-/// @brief The answer to a report: a lease on all grants that it lists, from when the report was sent.
+/// @brief The answer to a report: renews the lease of all listed grants from the time the report was sent.
 struct orders
 {
     std::uint64_t sequence = 0;
@@ -102,8 +102,8 @@
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(orders, sequence, lease_ms, report_after_ms, tasks, settled)
 
-/// @brief Reads a report strictly.
-/// @param faults receives what is wrong with it
+/// @brief Parses a report strictly.
+/// @param faults receives one entry for each fault
 [[nodiscard]] report parse_report(const nlohmann::json& document, std::vector<settings::fault>& faults);
 
 } // namespace plumspoke::worker
--- a/src/control/server.cpp
+++ b/src/control/server.cpp
@@ -29,9 +29,9 @@
     return options;
 }
 
-worker::desk_options make_desk_options(const settings::process_settings& settings)
+worker::lease_manager_options make_lease_manager_options(const settings::process_settings& settings)
 {
-    worker::desk_options options;
+    worker::lease_manager_options options;
     options.lease = milliseconds(settings.worker_lease_ms);
     options.drift_margin = milliseconds(settings.drift_margin_ms);
     options.report_interval = milliseconds(settings.worker_report_ms);
@@ -66,8 +66,9 @@
                                          const std::lock_guard lock(mutex_);
                                          leaving_workers_ = list.leaving;
                                      }),
-      desk_(make_desk_options(settings)), slot_allocator_(make_slot_allocator_options(settings)),
-      policy_(policy_options()), grpc_(std::make_unique<grpc_services>())
+      lease_manager_(make_lease_manager_options(settings)),
+      slot_allocator_(make_slot_allocator_options(settings)), policy_(policy_options()),
+      grpc_(std::make_unique<grpc_services>())
 {
     storage_ = std::make_unique<replica::storage>(settings.data_folder);
     transport_ = std::make_unique<replica::grpc_transport>(settings.grpc);
@@ -202,7 +203,7 @@
         return;
     }
     leading_term_ = status.term;
-    desk_.reset(now);
+    lease_manager_.reset(now);
     claim_expiry_.reset();
     policy_.reset();
     state_machine_.read(
@@ -221,14 +222,14 @@
             [&](const control_state& state)
             {
                 slot_allocator_.tick(now, state.config);
-                commands = desk_.tick(now, state);
+                commands = lease_manager_.tick(now, state);
                 for (command& next : claim_expiry_.tick(now, state))
                 {
                     commands.push_back(std::move(next));
                 }
                 const auto usable = [&](const std::string& worker)
                 {
-                    return desk_.is_live(now, worker) && !leaving_workers_.contains(worker);
+                    return lease_manager_.is_live(now, worker) && !leaving_workers_.contains(worker);
                 };
                 for (command& next : policy_.decide(now, state, usable))
                 {
@@ -291,13 +292,13 @@
         return {};
     }
     refresh_leadership(now, status);
-    worker::desk_output output;
+    worker::report_outcome output;
     {
         const std::lock_guard lock(mutex_);
         output = state_machine_.read(
             [&](const control_state& state)
             {
-                worker::desk_output answered = desk_.receive(now, state, received, error);
+                worker::report_outcome answered = lease_manager_.receive(now, state, received, error);
                 if (!error)
                 {
                     policy_.observe(now, state, received);
--- a/src/control/server_pages.cpp
+++ b/src/control/server_pages.cpp
@@ -67,7 +67,7 @@
                                    {"capacity", worker.capacity},
                                    {"used", worker.used},
                                    {"tasks", worker.jobs.size()},
-                                   {"live", desk_.is_live(now, name)},
+                                   {"live", lease_manager_.is_live(now, name)},
                                    {"leaving", leaving_workers_.contains(name)},
                                    {"set_aside", worker.set_aside}});
             }
--- a/src/worker/desk.cpp
+++ b/src/worker/lease_manager.cpp
@@ -1,4 +1,4 @@
-#include "plumspoke/worker/desk.hpp"
+#include "plumspoke/worker/lease_manager.hpp"
 
 #include "plumspoke/worker/error.hpp"
 
@@ -14,8 +14,8 @@
 using control::control_state;
 using control::task_event;
 
-/// The job's live task where it is this very grant on this worker.
-const control::task* live_grant(const control_state& state, const std::string& job, std::uint64_t token)
+/// Returns the job's live task if its token matches, otherwise nullptr.
+const control::task* find_live_grant(const control_state& state, const std::string& job, std::uint64_t token)
 {
     const auto found = state.jobs.find(job);
     if (found == state.jobs.end() || !found->second.live.has_value() || found->second.live->token != token)
@@ -42,7 +42,7 @@
     return task_event::started;
 }
 
-bool registered_as(const control_state& state, const report& received)
+bool matches_registration(const control_state& state, const report& received)
 {
     const auto found = state.workers.find(received.worker);
     return found != state.workers.end() && !found->second.removed &&
@@ -62,7 +62,7 @@
 
 } // namespace
 
-void desk::reset(time_point now)
+void lease_manager::reset(time_point now)
 {
     leader_since_ = now;
     workers_.clear();
@@ -70,10 +70,10 @@
     granted_at_.clear();
 }
 
-bool desk::proposed_lately(time_point now, std::uint64_t token, control::task_event event)
+bool lease_manager::was_recently_proposed(time_point now, std::uint64_t token, control::task_event event)
 {
     time_point& last = proposed_[{token, event}];
-    if (last != time_point{} && now < last + options_.repeat_after)
+    if (last != time_point{} && now < last + options_.reproposal_interval)
     {
         return true;
     }
@@ -81,13 +81,13 @@
     return false;
 }
 
-desk_output desk::receive(time_point now,
-                          const control::control_state& state,
-                          const report& received,
-                          std::error_code& error)
+report_outcome lease_manager::receive(time_point now,
+                                      const control::control_state& state,
+                                      const report& received,
+                                      std::error_code& error)
 {
-    desk_output output;
-    worker_view& view = workers_[received.worker];
+    report_outcome output;
+    worker_status& view = workers_[received.worker];
     const bool is_repeated =
         view.heard && view.incarnation == received.incarnation && received.sequence <= view.sequence;
     if (is_repeated || is_replaced(state, received))
@@ -107,7 +107,7 @@
     output.reply.sequence = received.sequence;
     output.reply.lease_ms = std::chrono::duration_cast<milliseconds>(options_.lease).count();
     output.reply.report_after_ms = std::chrono::duration_cast<milliseconds>(options_.report_interval).count();
-    if (!registered_as(state, received))
+    if (!matches_registration(state, received))
     {
         output.commands.emplace_back(
             control::register_worker{received.worker,
@@ -115,21 +115,21 @@
                                      received.availability_zone,
                                      received.rack,
                                      received.capacity,
-                                     list_crashed(last_heard, state, received.worker)});
+                                     find_crashed_jobs(last_heard, state, received.worker)});
     }
-    read_tasks(now, state, received, output);
-    list_grants(now, state, received, output);
+    process_task_reports(now, state, received, output);
+    add_grant_orders(now, state, received, output);
     return output;
 }
 
-void desk::read_tasks(time_point now,
-                      const control::control_state& state,
-                      const report& received,
-                      desk_output& output)
+void lease_manager::process_task_reports(time_point now,
+                                         const control::control_state& state,
+                                         const report& received,
+                                         report_outcome& output)
 {
     for (const task_report& task : received.tasks)
     {
-        const control::task* grant = live_grant(state, task.job, task.token);
+        const control::task* grant = find_live_grant(state, task.job, task.token);
         if (grant == nullptr)
         {
             if (task.ended())
@@ -148,7 +148,7 @@
         }
         const task_event event = event_of(task.state);
         const bool known = event == task_event::started && grant->started;
-        if (!known && !proposed_lately(now, task.token, event))
+        if (!known && !was_recently_proposed(now, task.token, event))
         {
             output.commands.emplace_back(
                 control::report_task{task.job, task.token, event, task.checkpoint, task.result, task.reason});
@@ -156,21 +156,22 @@
     }
 }
 
-// A grant that an earlier leader told of, and that its worker hasn't been told of since, tells nothing.
-jobs::crash_sign desk::sign_of_loss(time_point last_heard, std::uint64_t token) const
+// Start times of grants are known only if this leader sent them; a grant sent only by an earlier leader gives
+// no evidence of a crash.
+jobs::crash_sign lease_manager::crash_sign_of(time_point last_heard, std::uint64_t token) const
 {
     const auto granted = granted_at_.find(token);
     if (granted == granted_at_.end())
     {
         return jobs::crash_sign::none;
     }
-    const bool ran_long = last_heard >= granted->second + options_.long_run;
+    const bool ran_long = last_heard >= granted->second + options_.long_run_threshold;
     return ran_long ? jobs::crash_sign::cleared : jobs::crash_sign::counted;
 }
 
-std::vector<control::crashed_job> desk::list_crashed(time_point last_heard,
-                                                     const control::control_state& state,
-                                                     const std::string& worker) const
+std::vector<control::crashed_job> lease_manager::find_crashed_jobs(time_point last_heard,
+                                                                   const control::control_state& state,
+                                                                   const std::string& worker) const
 {
     std::vector<control::crashed_job> crashed;
     const auto found = state.workers.find(worker);
@@ -180,12 +181,12 @@
     }
     for (const std::string& id : found->second.jobs)
     {
-        crashed.push_back({id, sign_of_loss(last_heard, state.jobs.at(id).live->token)});
+        crashed.push_back({id, crash_sign_of(last_heard, state.jobs.at(id).live->token)});
     }
     return crashed;
 }
 
-void desk::forget_old_grants(const control::control_state& state)
+void lease_manager::prune_ended_grants(const control::control_state& state)
 {
     std::set<std::uint64_t> live;
     for (const auto& [name, worker] : state.workers)
@@ -200,18 +201,18 @@
                   {
                       return !live.contains(entry.first);
                   });
-    forget_grants_above_ = 2 * granted_at_.size() + least_remembered_grants;
+    prune_threshold_ = 2 * granted_at_.size() + min_remembered_grants;
 }
 
-void desk::list_grants(time_point now,
-                       const control::control_state& state,
-                       const report& received,
-                       desk_output& output)
+void lease_manager::add_grant_orders(time_point now,
+                                     const control::control_state& state,
+                                     const report& received,
+                                     report_outcome& output)
 {
     const auto worker = state.workers.find(received.worker);
     if (worker == state.workers.end() || worker->second.incarnation != received.incarnation)
     {
-        return; // its registration comes first
+        return; // not registered yet
     }
     for (const std::string& id : worker->second.jobs)
     {
@@ -232,34 +233,34 @@
     }
 }
 
-time_point desk::last_heard(const std::string& worker) const
+time_point lease_manager::last_heard(const std::string& worker) const
 {
     const auto found = workers_.find(worker);
     return found == workers_.end() ? leader_since_ : std::max(leader_since_, found->second.answered_at);
 }
 
-time_point desk::lease_end(const std::string& worker) const
+time_point lease_manager::lease_end(const std::string& worker) const
 {
-    // A worker not heard yet may have been answered by the leader before, up to the election.
+    // The previous leader may have answered a worker without reports here until the election.
     return last_heard(worker) + options_.lease + options_.drift_margin;
 }
 
-bool desk::is_live(time_point now, const std::string& worker) const
+bool lease_manager::is_live(time_point now, const std::string& worker) const
 {
     const auto found = workers_.find(worker);
     return found != workers_.end() && now < found->second.answered_at + options_.lease;
 }
 
-std::vector<control::command> desk::tick(time_point now, const control::control_state& state)
+std::vector<control::command> lease_manager::tick(time_point now, const control::control_state& state)
 {
     std::erase_if(proposed_,
                   [this, now](const auto& one)
                   {
-                      return one.second + options_.repeat_after < now;
+                      return one.second + options_.reproposal_interval < now;
                   });
-    if (granted_at_.size() > forget_grants_above_)
+    if (granted_at_.size() > prune_threshold_)
     {
-        forget_old_grants(state);
+        prune_ended_grants(state);
     }
     std::vector<control::command> commands;
     for (const auto& [name, worker] : state.workers)
@@ -271,7 +272,7 @@
         for (const std::string& id : worker.jobs)
         {
             const control::job& owner = state.jobs.at(id);
-            if (!proposed_lately(now, owner.live->token, task_event::lost))
+            if (!was_recently_proposed(now, owner.live->token, task_event::lost))
             {
                 commands.emplace_back(
                     control::report_task{id,
@@ -280,7 +281,7 @@
                                          {},
                                          {},
                                          "the lease of worker " + name + " ran out",
-                                         sign_of_loss(last_heard(name), owner.live->token)});
+                                         crash_sign_of(last_heard(name), owner.live->token)});
             }
         }
     }
--- a/src/worker/report.cpp
+++ b/src/worker/report.cpp
@@ -6,9 +6,9 @@
 namespace
 {
 
-constexpr std::int64_t most_millicores = 10'000'000;
-constexpr std::int64_t most_memory_mb = 100'000'000;
-constexpr std::int64_t most_accelerators = 1024;
+constexpr std::int64_t max_millicores = 10'000'000;
+constexpr std::int64_t max_memory_mb = 100'000'000;
+constexpr std::int64_t max_accelerators = 1024;
 
 control::resources
 parse_resources(const nlohmann::json& value, const std::string& path, std::vector<settings::fault>& faults)
@@ -19,9 +19,9 @@
         return result;
     }
     settings::object_reader reader(value, path, faults);
-    result.millicores = reader.optional_integer("millicores", 0, {0, most_millicores});
-    result.memory_mb = reader.optional_integer("memory_mb", 0, {0, most_memory_mb});
-    result.accelerators = reader.optional_integer("accelerators", 0, {0, most_accelerators});
+    result.millicores = reader.optional_integer("millicores", 0, {0, max_millicores});
+    result.memory_mb = reader.optional_integer("memory_mb", 0, {0, max_memory_mb});
+    result.accelerators = reader.optional_integer("accelerators", 0, {0, max_accelerators});
     reader.finish();
     return result;
 }
--- a/tests/src/unit-control_crashes.cpp
+++ b/tests/src/unit-control_crashes.cpp
@@ -5,7 +5,7 @@
 /// reports a failure, so `max_attempts` alone doesn't stop it. Crashes have to count against the job too.
 
 #include "control_fixture.hpp"
-#include "plumspoke/worker/desk.hpp"
+#include "plumspoke/worker/lease_manager.hpp"
 
 #include <catch2/catch.hpp>
 
@@ -22,7 +22,7 @@
 {
     crash_fixture()
     {
-        desk.reset(now);
+        lease_manager.reset(now);
     }
 
     /// @brief Sends a report of the worker's current process and applies the resulting commands.
@@ -34,7 +34,7 @@
         received.sequence = ++sequence;
         received.capacity = {8'000, 32'000, 0};
         std::error_code error;
-        for (const command& next : desk.receive(now, state, received, error).commands)
+        for (const command& next : lease_manager.receive(now, state, received, error).commands)
         {
             (void)apply(next);
         }
@@ -66,7 +66,7 @@
         return state.jobs.at(job).phase;
     }
 
-    worker::desk desk{worker::desk_options{}};
+    worker::lease_manager lease_manager{worker::lease_manager_options{}};
     time_point now = start;
     std::map<std::string, int> incarnations{{"w1", 1}, {"w2", 1}};
     std::uint64_t sequence = 0;
--- a/tests/src/unit-control_leader.cpp
+++ b/tests/src/unit-control_leader.cpp
@@ -4,8 +4,8 @@
 #include "control_fixture.hpp"
 #include "plumspoke/control/policy.hpp"
 #include "plumspoke/control/slot_allocator.hpp"
-#include "plumspoke/worker/desk.hpp"
 #include "plumspoke/worker/error.hpp"
+#include "plumspoke/worker/lease_manager.hpp"
 
 #include <catch2/catch.hpp>
 
@@ -19,8 +19,8 @@
     fixture f;
     (void)f.submit("j");
     const std::uint64_t token = f.place("j").id;
-    worker::desk desk{worker::desk_options{}};
-    desk.reset(start);
+    worker::lease_manager lease_manager{worker::lease_manager_options{}};
+    lease_manager.reset(start);
     worker::report report;
     report.worker = "w1";
     report.incarnation = "1";
@@ -30,15 +30,16 @@
 
     SECTION("list the worker's tasks and its lease")
     {
-        const worker::desk_output output = desk.receive(start, f.state, report, error);
+        const worker::report_outcome output = lease_manager.receive(start, f.state, report, error);
         REQUIRE(output.reply.tasks.size() == 1);
         CHECK(output.reply.tasks[0].token == token);
         CHECK(output.reply.lease_ms == 3000);
     }
     SECTION("are given once per report")
     {
-        (void)desk.receive(start, f.state, report, error);
-        const worker::desk_output again = desk.receive(start + milliseconds(1), f.state, report, error);
+        (void)lease_manager.receive(start, f.state, report, error);
+        const worker::report_outcome again =
+            lease_manager.receive(start + milliseconds(1), f.state, report, error);
         CHECK(error == worker::errc::old_sequence);
         CHECK(again.reply.tasks.empty());
     }
@@ -46,18 +47,18 @@
     {
         report.tasks.push_back({"j", token + 7, worker::task_state::running, "", "", "", {}});
         report.tasks.push_back({"k", token + 8, worker::task_state::finished, "", "", "", {}});
-        const worker::desk_output output = desk.receive(start, f.state, report, error);
+        const worker::report_outcome output = lease_manager.receive(start, f.state, report, error);
         CHECK(output.reply.tasks[0].order == task_order::stop);
         REQUIRE(output.reply.settled.size() == 1);
         CHECK(output.reply.settled[0].token == token + 8);
     }
     SECTION("let a lease expire that the previous leader may have renewed, before a task counts as lost")
     {
-        CHECK(desk.tick(start + milliseconds(3499), f.state).empty());
-        const std::vector<command> lost = desk.tick(start + milliseconds(3500), f.state);
+        CHECK(lease_manager.tick(start + milliseconds(3499), f.state).empty());
+        const std::vector<command> lost = lease_manager.tick(start + milliseconds(3500), f.state);
         REQUIRE(lost.size() == 1);
         CHECK(std::get<report_task>(lost[0]).event == task_event::lost);
-        CHECK(desk.tick(start + milliseconds(3600), f.state).empty()); // proposed already
+        CHECK(lease_manager.tick(start + milliseconds(3600), f.state).empty()); // proposed already
     }
 }
 
--- a/tests/src/unit-replaced_process.cpp
+++ b/tests/src/unit-replaced_process.cpp
@@ -6,8 +6,8 @@
 /// the jobs of the one that lives were written off and granted elsewhere, while it worked on them.
 
 #include "control_fixture.hpp"
-#include "plumspoke/worker/desk.hpp"
 #include "plumspoke/worker/error.hpp"
+#include "plumspoke/worker/lease_manager.hpp"
 
 #include <catch2/catch.hpp>
 
@@ -29,14 +29,14 @@
         received.sequence = sequence;
         received.capacity = {8'000, 32'000, 0};
         std::error_code error;
-        for (const command& one : desk.receive(start, state, received, error).commands)
+        for (const command& one : lease_manager.receive(start, state, received, error).commands)
         {
             (void)apply(one);
         }
         return error;
     }
 
-    worker::desk desk{worker::desk_options{}};
+    worker::lease_manager lease_manager{worker::lease_manager_options{}};
 };
 
 } // namespace
@@ -44,7 +44,7 @@
 TEST_CASE("a late report of a process that was replaced is refused")
 {
     report_fixture f;
-    f.desk.reset(start);
+    f.lease_manager.reset(start);
     CHECK_FALSE(f.hear("1", 40));
     CHECK_FALSE(f.hear("second", 1));
     (void)f.submit("job");
@@ -53,7 +53,7 @@
     const bool leader_changes = GENERATE(false, true);
     if (leader_changes)
     {
-        f.desk.reset(start);
+        f.lease_manager.reset(start);
     }
     CHECK(f.hear("1", 41) == worker::errc::old_sequence);
     CHECK(f.state.workers.at("w1").incarnation == "second");
@@ -64,10 +64,10 @@
 TEST_CASE("a replaced process stays so over a snapshot")
 {
     report_fixture f;
-    f.desk.reset(start);
+    f.lease_manager.reset(start);
     CHECK_FALSE(f.hear("1", 40));
     CHECK_FALSE(f.hear("second", 1));
     f.state = nlohmann::json(f.state).get<control_state>();
-    f.desk.reset(start);
+    f.lease_manager.reset(start);
     CHECK(f.hear("1", 41) == worker::errc::old_sequence);
 }
--- a/tests/world/control_vm.cpp
+++ b/tests/world/control_vm.cpp
@@ -14,12 +14,12 @@
 constexpr auto join_interval = milliseconds(300);
 constexpr auto schedule_interval = milliseconds(100);
 
-plumspoke::worker::desk_options desk_options()
+plumspoke::worker::lease_manager_options lease_manager_options()
 {
-    plumspoke::worker::desk_options options;
+    plumspoke::worker::lease_manager_options options;
     options.lease = worker_lease;
     options.drift_margin = drift_margin;
-    options.repeat_after = milliseconds(500);
+    options.reproposal_interval = milliseconds(500);
     return options;
 }
 
@@ -43,8 +43,8 @@
 } // namespace
 
 control_vm::control_vm(world& owner, const std::string& name, const replica::membership& first_members)
-    : process(owner, name), id_(name + ".first"), desk_(desk_options()), claim_expiry_(claim_margin),
-      policy_({}), slot_allocator_(make_slot_allocator_options())
+    : process(owner, name), id_(name + ".first"), lease_manager_(lease_manager_options()),
+      claim_expiry_(claim_margin), policy_({}), slot_allocator_(make_slot_allocator_options())
 {
     disk_.base.members = first_members;
     start_node();
@@ -151,7 +151,7 @@
     if (!same_reign)
     {
         leading_term_ = node_->term();
-        desk_.reset(now());
+        lease_manager_.reset(now());
         claim_expiry_.reset();
         policy_.reset();
         slot_allocator_.reset(now(), state_.config);
@@ -162,14 +162,14 @@
     }
     next_schedule_ = now() + schedule_interval;
     slot_allocator_.tick(now(), state_.config);
-    std::vector<control::command> commands = desk_.tick(now(), state_);
+    std::vector<control::command> commands = lease_manager_.tick(now(), state_);
     for (control::command& next : claim_expiry_.tick(now(), state_))
     {
         commands.push_back(std::move(next));
     }
     const auto usable = [this](const std::string& name)
     {
-        return desk_.is_live(now(), name);
+        return lease_manager_.is_live(now(), name);
     };
     for (control::command& next : policy_.decide(now(), state_, usable))
     {
@@ -202,7 +202,7 @@
     }
     lead();
     std::error_code error;
-    plumspoke::worker::desk_output output = desk_.receive(now(), state_, received, error);
+    plumspoke::worker::report_outcome output = lease_manager_.receive(now(), state_, received, error);
     if (error)
     {
         return false;
--- a/tests/world/world.hpp
+++ b/tests/world/world.hpp
@@ -9,7 +9,7 @@
 #include "plumspoke/entry/request_flow.hpp"
 #include "plumspoke/entry/route_table.hpp"
 #include "plumspoke/replica/driver.hpp"
-#include "plumspoke/worker/desk.hpp"
+#include "plumspoke/worker/lease_manager.hpp"
 
 #include <functional>
 #include <memory>
@@ -305,7 +305,7 @@
     std::unique_ptr<replica::node> node_;
     control::control_state state_;
     replica::log_index applied_ = 0;
-    plumspoke::worker::desk desk_;
+    plumspoke::worker::lease_manager lease_manager_;
     control::claim_expiry claim_expiry_;
     control::policy policy_;
     control::slot_allocator slot_allocator_;
