--- a/include/plumspoke/fleet/announcement.hpp
+++ b/include/plumspoke/fleet/announcement.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief What a worker says of itself, and what one control VM has heard.
+/// @brief Workers' announcements and the registry of announcements that one control VM received.
 
 #include "plumspoke/fleet/worker_life.hpp"
 #include "plumspoke/jobs/model.hpp"
@@ -14,79 +14,83 @@
 namespace plumspoke::fleet
 {
 
-/// @brief Whether a worker takes tasks.
+/// @brief Whether a worker accepts tasks.
 enum class worker_state : std::uint8_t
 {
     ready = 0,
     draining = 1,
-    gone = 2,     // it has said goodbye
-    doubtful = 3, // a goodbye came under its id, and it had not said that it leaves: maybe an earlier life's
+    gone = 2, // it announced its end
+    leave_unconfirmed =
+        3, // a goodbye with its id arrived while it wasn't draining; may be from an earlier life
 };
 
-/// @brief What one life of a worker says of itself.
+/// @brief Self-description of one life of a worker.
 struct announcement
 {
     worker_life life;
-    std::string service; // the pool that it belongs to
+    std::string service; // name of its pool
     std::string address;
     std::string zone;
-    std::vector<std::string> labels; // what tasks may require
+    std::vector<std::string> labels; // labels that tasks may require
     std::string rack;
-    jobs::resources room; // all that it has, whatever runs there
+    jobs::resources room; // total capacity, including what running tasks use
     worker_state state = worker_state::ready;
-    std::int64_t time_left_ms = 0; // while draining: at least so long
-    std::uint64_t sequence = 0;    // tells a late announcement of this life from a newer one
-    std::string vm;                // stays over lives
+    std::int64_t time_left_ms = 0; // while draining: minimum time until it stops
+    std::uint64_t sequence = 0;    // orders the announcements of one life
+    std::string vm;                // the same for every life of the worker
 
-    /// @brief Whether it has said that its end is planned.
+    /// @brief Whether the worker announced that it stops.
     [[nodiscard]] bool is_leaving() const noexcept
     {
         return state == worker_state::draining || state == worker_state::gone;
     }
 
-    /// @brief Whether two announcements say the same, but for their sequence.
-    [[nodiscard]] bool says_the_same(const announcement& other) const noexcept;
+    /// @brief Whether two announcements are equal except for their sequence numbers.
+    [[nodiscard]] bool has_same_content(const announcement& other) const noexcept;
 };
 
-/// @brief What a control VM has heard from workers, and what of it the leader has.
-class registry
+/// @brief Announcements that a control VM received, and which of them were relayed to the leader.
+class worker_registry
 {
   public:
-    /// @brief Takes an announcement in.
-    /// @return false where a newer one of the same life was heard before
+    /// @brief Stores an announcement.
+    /// @return false if a newer announcement of the same life was already received
     bool receive(time_point now, const announcement& heard);
 
-    /// @brief A goodbye has come under this id, of whichever life: it is that of a life that was leaving.
-    /// @return what is to be told of the lives that it may concern
-    std::vector<announcement> say_goodbye(time_point now, const std::string& id);
+    /// @brief Handles a goodbye, which names a worker id but no life. It is attributed to the leaving lives,
+    /// or,
+    ///        if none is leaving, marks every life of the id as unconfirmed.
+    /// @return the updated announcements of the affected lives
+    std::vector<announcement> handle_goodbye(time_point now, const std::string& id);
 
-    /// @brief All that was heard and has not expired.
+    /// @brief All announcements that have not expired.
     [[nodiscard]] std::vector<announcement> all() const;
 
-    /// @brief What this life said last; nothing where it was not heard.
+    /// @brief The last announcement of this life, or std::nullopt if none was received.
     [[nodiscard]] std::optional<announcement> find(const worker_life& life) const;
 
-    /// @brief What the leader of this term doesn't have yet; all of it after a change of leader.
+    /// @brief Announcements not yet relayed to the leader of this term; all of them after a leader change.
     [[nodiscard]] std::vector<announcement> changed_since_relay(std::uint64_t leader_term) const;
 
-    /// @brief Workers heard since the last relay whose announcement the leader has.
+    /// @brief Lives that announced themselves again, without changes, since the last relay.
     [[nodiscard]] std::vector<worker_life> alive_since_relay(std::uint64_t leader_term) const;
 
-    /// @brief The leader of this term has taken what the last two calls returned.
-    void note_relayed(std::uint64_t leader_term, const std::vector<announcement>& relayed);
+    /// @brief Records that the leader of this term accepted the results of changed_since_relay and
+    ///        alive_since_relay.
+    void mark_relayed(std::uint64_t leader_term, const std::vector<announcement>& relayed);
 
-    /// @brief The leader doesn't know these: they are sent whole again.
-    void note_unknown(const std::vector<worker_life>& lives);
+    /// @brief Schedules full announcements again for lives that are unknown to the leader.
+    void mark_unknown(const std::vector<worker_life>& lives);
 
-    /// @brief Whether the leader of this term has this life's newest announcement.
+    /// @brief Whether this life's newest announcement was relayed to the leader of this term.
     [[nodiscard]] bool is_relayed(std::uint64_t leader_term, const worker_life& life) const;
 
-    /// @brief Drops workers that have been silent for long.
+    /// @brief Removes workers whose last announcement is older than `silence`.
     void expire(time_point now, duration silence);
 
     [[nodiscard]] std::size_t size() const noexcept
     {
-        return heard_.size();
+        return records_.size();
     }
 
   private:
@@ -97,7 +101,7 @@
         std::uint64_t relayed_term = 0; // 0: the newest content has not been relayed
         bool heard_since_relay = true;
     };
-    std::map<worker_life, record> heard_;
+    std::map<worker_life, record> records_;
 };
 
 } // namespace plumspoke::fleet
--- a/include/plumspoke/fleet/worker_life.hpp
+++ b/include/plumspoke/fleet/worker_life.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief Which start of a worker is meant: a worker that starts again may keep its id.
+/// @brief Identifies one start of a worker: a restarted worker may keep its id.
 
 #include <cstdint>
 #include <functional>
@@ -11,12 +11,12 @@
 namespace plumspoke::fleet
 {
 
-/// @brief One life of a worker, from a start to its end: it holds and knows nothing of an earlier one.
-/// @note Of two lives neither the greater nor the smaller `born_ms` is the later one, since clocks step.
+/// @brief One life of a worker, from a start to its end. It keeps no state of earlier lives.
+/// @note The order of `born_ms` doesn't tell which of two lives is later, since clocks may be stepped.
 struct worker_life
 {
-    std::string id;           // of the worker; a later life may have the same
-    std::int64_t born_ms = 0; // since 1970, by the worker's clock at its start; 0: not told
+    std::string id;           // worker id; a later life may reuse it
+    std::int64_t born_ms = 0; // ms since 1970 on the worker's clock at its start; 0: unknown
 
     bool operator==(const worker_life&) const = default;
     bool operator<(const worker_life& other) const noexcept
@@ -25,7 +25,7 @@
     }
 };
 
-/// @brief For look-ups by life.
+/// @brief Hash function for unordered containers.
 struct worker_life_hash
 {
     [[nodiscard]] std::size_t operator()(const worker_life& of) const noexcept
--- a/include/plumspoke/job_server/control_server.hpp
+++ b/include/plumspoke/job_server/control_server.hpp
@@ -176,7 +176,7 @@
     std::condition_variable relay_requested_;
     std::condition_variable relay_done_;
     bool relay_pending_ = false;
-    fleet::registry registry_;
+    fleet::worker_registry registry_;
 
     boost::asio::io_context context_;
     boost::asio::steady_timer timer_{context_};
--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -111,7 +111,7 @@
     }
     const bool was_draining = worker.announced && worker.info.state == fleet::worker_state::draining;
     const bool first = !worker.announced;
-    const bool is_news = first || !worker.info.says_the_same(announcement) ||
+    const bool is_news = first || !worker.info.has_same_content(announcement) ||
                          now >= worker.announced_at + options_.announcement_timeout;
     worker.info = announcement;
     worker.announced = true;
@@ -132,13 +132,13 @@
                               .with("rack", announcement.rack));
         poll_other_lives(now, announcement);
     }
-    const bool has_left = announcement.state == fleet::worker_state::doubtful && was_draining;
+    const bool has_left = announcement.state == fleet::worker_state::leave_unconfirmed && was_draining;
     if (announcement.state == fleet::worker_state::gone || has_left)
     {
         departed(now, announcement.life);
         return;
     }
-    if (announcement.state == fleet::worker_state::doubtful)
+    if (announcement.state == fleet::worker_state::leave_unconfirmed)
     {
         worker.next_poll_at = std::min(worker.next_poll_at, now);
     }
--- a/src/fleet/announcement.cpp
+++ b/src/fleet/announcement.cpp
@@ -5,21 +5,21 @@
 namespace plumspoke::fleet
 {
 
-bool announcement::says_the_same(const announcement& other) const noexcept
+bool announcement::has_same_content(const announcement& other) const noexcept
 {
     return life == other.life && service == other.service && address == other.address && zone == other.zone &&
            labels == other.labels && room == other.room && state == other.state &&
            time_left_ms == other.time_left_ms && vm == other.vm;
 }
 
-bool registry::receive(time_point now, const announcement& heard)
+bool worker_registry::receive(time_point now, const announcement& heard)
 {
-    record& entry = heard_[heard.life];
+    record& entry = records_[heard.life];
     if (heard.sequence < entry.last.sequence)
     {
         return false;
     }
-    if (!entry.last.says_the_same(heard))
+    if (!entry.last.has_same_content(heard))
     {
         entry.relayed_term = 0;
     }
@@ -29,18 +29,18 @@
     return true;
 }
 
-std::vector<announcement> registry::say_goodbye(time_point now, const std::string& id)
+std::vector<announcement> worker_registry::handle_goodbye(time_point now, const std::string& id)
 {
     std::vector<announcement> concerned;
     bool any_leaves = false;
-    for (auto at = heard_.lower_bound({id, std::numeric_limits<std::int64_t>::min()});
-         at != heard_.end() && at->first.id == id;
+    for (auto at = records_.lower_bound({id, std::numeric_limits<std::int64_t>::min()});
+         at != records_.end() && at->first.id == id;
          ++at)
     {
         concerned.push_back(at->second.last);
         any_leaves = any_leaves || concerned.back().is_leaving();
     }
-    // It names no life. One that comes late must not end the next life, on which tasks run by then.
+    // A goodbye names no life. A delayed one must not end the next life, which may already run tasks.
     std::erase_if(concerned,
                   [any_leaves](const announcement& one)
                   {
@@ -48,32 +48,32 @@
                   });
     for (announcement& one : concerned)
     {
-        one.state = any_leaves ? worker_state::gone : worker_state::doubtful;
+        one.state = any_leaves ? worker_state::gone : worker_state::leave_unconfirmed;
         receive(now, one);
     }
     return concerned;
 }
 
-std::vector<announcement> registry::all() const
+std::vector<announcement> worker_registry::all() const
 {
     std::vector<announcement> out;
-    for (const auto& [life, entry] : heard_)
+    for (const auto& [life, entry] : records_)
     {
         out.push_back(entry.last);
     }
     return out;
 }
 
-std::optional<announcement> registry::find(const worker_life& life) const
+std::optional<announcement> worker_registry::find(const worker_life& life) const
 {
-    const auto found = heard_.find(life);
-    return found == heard_.end() ? std::nullopt : std::optional(found->second.last);
+    const auto found = records_.find(life);
+    return found == records_.end() ? std::nullopt : std::optional(found->second.last);
 }
 
-std::vector<announcement> registry::changed_since_relay(std::uint64_t leader_term) const
+std::vector<announcement> worker_registry::changed_since_relay(std::uint64_t leader_term) const
 {
     std::vector<announcement> out;
-    for (const auto& [life, entry] : heard_)
+    for (const auto& [life, entry] : records_)
     {
         if (entry.relayed_term != leader_term)
         {
@@ -83,10 +83,10 @@
     return out;
 }
 
-std::vector<worker_life> registry::alive_since_relay(std::uint64_t leader_term) const
+std::vector<worker_life> worker_registry::alive_since_relay(std::uint64_t leader_term) const
 {
     std::vector<worker_life> out;
-    for (const auto& [life, entry] : heard_)
+    for (const auto& [life, entry] : records_)
     {
         if (entry.relayed_term == leader_term && entry.heard_since_relay)
         {
@@ -96,43 +96,43 @@
     return out;
 }
 
-void registry::note_relayed(std::uint64_t leader_term, const std::vector<announcement>& relayed)
+void worker_registry::mark_relayed(std::uint64_t leader_term, const std::vector<announcement>& relayed)
 {
     for (const announcement& one : relayed)
     {
-        const auto found = heard_.find(one.life);
-        if (found != heard_.end() && found->second.last.says_the_same(one))
+        const auto found = records_.find(one.life);
+        if (found != records_.end() && found->second.last.has_same_content(one))
         {
             found->second.relayed_term = leader_term;
         }
     }
-    for (auto& [life, entry] : heard_)
+    for (auto& [life, entry] : records_)
     {
         entry.heard_since_relay = entry.heard_since_relay && entry.relayed_term != leader_term;
     }
 }
 
-void registry::note_unknown(const std::vector<worker_life>& lives)
+void worker_registry::mark_unknown(const std::vector<worker_life>& lives)
 {
     for (const worker_life& life : lives)
     {
-        const auto found = heard_.find(life);
-        if (found != heard_.end())
+        const auto found = records_.find(life);
+        if (found != records_.end())
         {
             found->second.relayed_term = 0;
         }
     }
 }
 
-bool registry::is_relayed(std::uint64_t leader_term, const worker_life& life) const
+bool worker_registry::is_relayed(std::uint64_t leader_term, const worker_life& life) const
 {
-    const auto found = heard_.find(life);
-    return found != heard_.end() && leader_term != 0 && found->second.relayed_term == leader_term;
+    const auto found = records_.find(life);
+    return found != records_.end() && leader_term != 0 && found->second.relayed_term == leader_term;
 }
 
-void registry::expire(time_point now, duration silence)
+void worker_registry::expire(time_point now, duration silence)
 {
-    std::erase_if(heard_,
+    std::erase_if(records_,
                   [&](const auto& entry)
                   {
                       return entry.second.heard_at + silence < now;
--- a/src/job_server/control_http.cpp
+++ b/src/job_server/control_http.cpp
@@ -166,7 +166,7 @@
     std::vector<fleet::announcement> changed;
     {
         const std::lock_guard lock(registry_mutex_);
-        changed = registry_.say_goodbye(now, call.worker);
+        changed = registry_.handle_goodbye(now, call.worker);
     }
     if (!changed.empty() && acting())
     {
@@ -257,8 +257,8 @@
         unknown.push_back({reply.unknown(i), has_born_ms ? reply.unknown_born_ms(i) : 0});
     }
     const std::lock_guard lock(registry_mutex_);
-    registry_.note_relayed(leader_term, changed);
-    registry_.note_unknown(unknown);
+    registry_.mark_relayed(leader_term, changed);
+    registry_.mark_unknown(unknown);
     relay_done_.notify_all();
 }
 
--- a/tests/src/unit-fleet_and_interference.cpp
+++ b/tests/src/unit-fleet_and_interference.cpp
@@ -28,7 +28,7 @@
 
 TEST_CASE("the registry relays announcements that the leader doesn't have")
 {
-    fleet::registry registry;
+    fleet::worker_registry registry;
     CHECK(registry.receive(start, make_announcement("w", 2)));
 
     SECTION("an outdated announcement is ignored")
@@ -43,7 +43,7 @@
         CHECK_FALSE(registry.is_relayed(5, {"w"}));
         const auto changed = registry.changed_since_relay(5);
         REQUIRE(changed.size() == 1);
-        registry.note_relayed(5, changed);
+        registry.mark_relayed(5, changed);
         CHECK(registry.is_relayed(5, {"w"}));
         CHECK(registry.changed_since_relay(5).empty());
         CHECK(registry.alive_since_relay(5).empty());
@@ -54,13 +54,13 @@
     }
     SECTION("in full again after a change, or when the leader no longer knows the worker")
     {
-        registry.note_relayed(5, registry.changed_since_relay(5));
+        registry.mark_relayed(5, registry.changed_since_relay(5));
         fleet::announcement leaving = make_announcement("w", 3);
         leaving.state = fleet::worker_state::draining;
         CHECK(registry.receive(start, leaving));
         CHECK_FALSE(registry.is_relayed(5, {"w"}));
-        registry.note_relayed(5, registry.changed_since_relay(5));
-        registry.note_unknown({{"w"}});
+        registry.mark_relayed(5, registry.changed_since_relay(5));
+        registry.mark_unknown({{"w"}});
         CHECK_FALSE(registry.is_relayed(5, {"w"}));
     }
     SECTION("a goodbye is relayed, and silent workers are removed")
@@ -68,7 +68,7 @@
         fleet::announcement leaving = make_announcement("w", 3);
         leaving.state = fleet::worker_state::draining;
         CHECK(registry.receive(start, leaving));
-        CHECK(registry.say_goodbye(start, "w").size() == 1);
+        CHECK(registry.handle_goodbye(start, "w").size() == 1);
         CHECK(registry.find({"w"})->state == fleet::worker_state::gone);
         registry.expire(start + seconds(11), seconds(10));
         CHECK(registry.size() == 0);
@@ -77,7 +77,7 @@
 
 TEST_CASE("a goodbye, which names no life, applies to the life that was leaving")
 {
-    fleet::registry registry;
+    fleet::worker_registry registry;
     fleet::announcement next = make_announcement("w", 1);
     next.life.born_ms = 7;
     CHECK(registry.receive(start, next));
@@ -87,14 +87,14 @@
         fleet::announcement leaving = make_announcement("w", 90);
         leaving.state = fleet::worker_state::draining;
         CHECK(registry.receive(start, leaving));
-        REQUIRE(registry.say_goodbye(start, "w").size() == 1);
+        REQUIRE(registry.handle_goodbye(start, "w").size() == 1);
         CHECK(registry.find({"w"})->state == fleet::worker_state::gone);
         CHECK(registry.find(next.life)->state == fleet::worker_state::ready);
     }
-    SECTION("if no life is known to be leaving, the worker becomes doubtful until it announces itself again")
+    SECTION("if no life is known to be leaving, the worker is unconfirmed until it announces itself again")
     {
-        REQUIRE(registry.say_goodbye(start, "w").size() == 1);
-        CHECK(registry.find(next.life)->state == fleet::worker_state::doubtful);
+        REQUIRE(registry.handle_goodbye(start, "w").size() == 1);
+        CHECK(registry.find(next.life)->state == fleet::worker_state::leave_unconfirmed);
         fleet::announcement again = next;
         again.sequence = 2;
         CHECK(registry.receive(start, again));
--- a/tests/src/unit-worker_lives.cpp
+++ b/tests/src/unit-worker_lives.cpp
@@ -358,12 +358,12 @@
 
 TEST_CASE("a control VM relays a worker that has started again, though its count is lower")
 {
-    fleet::registry registry;
+    fleet::worker_registry registry;
     fleet::announcement first;
     first.life = {"w", 50'000};
     first.sequence = 90;
     REQUIRE(registry.receive(start, first));
-    registry.note_relayed(5, registry.changed_since_relay(5));
+    registry.mark_relayed(5, registry.changed_since_relay(5));
     fleet::announcement again = first;
     again.life.born_ms = 49'000;
     again.sequence = 1;
