--- a/include/plumspoke/http/client.hpp
+++ b/include/plumspoke/http/client.hpp
@@ -1,7 +1,8 @@
 #pragma once
 
 /// @file
-/// @brief CivetWeb's client, for calls that are off the path of a request: operators, the platform's list.
+/// @brief HTTP client based on CivetWeb, for calls outside the request path: operators and the platform's
+///        VM list.
 
 #include "plumspoke/http/message.hpp"
 #include "plumspoke/time/time.hpp"
@@ -11,10 +12,10 @@
 namespace plumspoke::http
 {
 
-/// @brief One exchange on a connection of its own.
+/// @brief Sends one request on a new connection and reads the response.
 /// @param address IP:PORT
-/// @param limit for the answer's head
-/// @return the whole answer, or nothing where none came or it was cut short
+/// @param limit timeout for the response head
+/// @return the complete response, or std::nullopt if none arrived or it was truncated
 [[nodiscard]] std::optional<response>
 call(const std::string& address, const request& sent, milliseconds limit);
 
--- a/include/plumspoke/http/message.hpp
+++ b/include/plumspoke/http/message.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief HTTP requests and answers as plain values.
+/// @brief HTTP requests and responses as plain values.
 
 #include <cstdint>
 #include <string>
@@ -11,19 +11,19 @@
 namespace plumspoke::http
 {
 
-/// @brief One header line.
+/// @brief One header field.
 struct header
 {
     std::string name;
     std::string value;
 };
 
-/// @brief The first value of a header, compared without regard to case; empty where absent.
+/// @brief The first value of a header, or an empty view if absent. Names are case-insensitive.
 [[nodiscard]] std::string_view find_header(const std::vector<header>& headers,
                                            std::string_view name) noexcept;
 
-/// @brief Whether two header names are the same.
-[[nodiscard]] bool same_name(std::string_view left, std::string_view right) noexcept;
+/// @brief Compares two header names case-insensitively.
+[[nodiscard]] bool header_names_equal(std::string_view left, std::string_view right) noexcept;
 
 struct request
 {
@@ -40,10 +40,10 @@
     std::string content_type = "text/plain";
     std::vector<header> headers;
     std::string body;
-    bool close = false; // end the connection after this answer
+    bool close = false; // close the connection after this response
 };
 
-/// @brief The reason phrase of a status.
+/// @brief The reason phrase of a status code.
 [[nodiscard]] std::string_view reason_phrase(int status) noexcept;
 
 } // namespace plumspoke::http
--- a/include/plumspoke/http/server.hpp
+++ b/include/plumspoke/http/server.hpp
@@ -1,7 +1,8 @@
 #pragma once
 
 /// @file
-/// @brief A CivetWeb server that reads whole requests, bounded in size and time, and writes whole answers.
+/// @brief HTTP server based on CivetWeb that reads complete requests, limited in size and time, and writes
+///        complete responses.
 
 #include "plumspoke/http/message.hpp"
 #include "plumspoke/time/time.hpp"
@@ -13,7 +14,7 @@
 namespace plumspoke::http
 {
 
-/// @brief Bounds of a server.
+/// @brief Address and limits of a server.
 struct server_options
 {
     std::string address; // IP:PORT
@@ -24,8 +25,8 @@
     std::int64_t keep_alive_ms = 5000;
 };
 
-/// @brief Why a server refused a request before its handler saw it.
-struct server_counts
+/// @brief Requests rejected before they reached the handler, by reason.
+struct rejected_request_counts
 {
     std::atomic<std::uint64_t> body_too_large{0};
     std::atomic<std::uint64_t> body_too_short{0};
@@ -35,7 +36,8 @@
 
 using handler = std::function<response(const request&)>;
 
-/// @brief Serves one address. Each open connection has a thread; where these run short, none is kept idle.
+/// @brief Serves one address with one thread per open connection. If threads run short, each connection is
+///        closed after its response.
 class server
 {
   public:
@@ -46,24 +48,25 @@
     server& operator=(const server&) = delete;
     ~server();
 
-    /// @return false where the address can't be bound
+    /// @return false if the address can't be bound
     [[nodiscard]] bool start();
     /// @}
 
     /// @name modifiers
     /// @{
 
-    /// @brief From now on each answer ends its connection.
+    /// @brief Closes each connection after its next response.
     void begin_drain() noexcept
     {
         draining_ = true;
     }
 
-    /// @brief Waits until no request has been answered for `settle`.
-    /// @return false where one still is at `limit`, or soon after it in a process that stood still until then
+    /// @brief Waits until no request has been in flight for `settle`.
+    /// @return false if a request is still in flight at `limit`; a process that was suspended
+    ///         until then polls for a short time after `limit` first
     [[nodiscard]] bool wait_until_idle(time_point limit, duration settle) const;
 
-    /// @brief Ends the server; requests that are being answered are finished first.
+    /// @brief Stops the server after the requests in flight are answered.
     void stop();
     /// @}
 
@@ -78,18 +81,18 @@
         return in_flight_;
     }
 
-    /// @brief How many connections are served at once; further ones wait for one of them to end.
+    /// @brief Maximum number of concurrently served connections; further ones wait until one is closed.
     [[nodiscard]] std::int64_t threads() const noexcept
     {
         return options_.threads;
     }
 
-    /// @brief Connections whose first request was waited for so far.
+    /// @brief Connections accepted by a thread since the start.
     [[nodiscard]] std::uint64_t connections() const noexcept
     {
         return connections_;
     }
-    [[nodiscard]] const server_counts& counts() const noexcept
+    [[nodiscard]] const rejected_request_counts& counts() const noexcept
     {
         return counts_;
     }
@@ -100,7 +103,7 @@
     friend struct callbacks;
     struct context;
 
-    [[nodiscard]] bool is_crowded() const noexcept;
+    [[nodiscard]] bool is_near_thread_limit() const noexcept;
 
     server_options options_;
     handler handle_;
@@ -108,7 +111,7 @@
     std::atomic<std::int64_t> open_connections_{0};
     std::atomic<std::int64_t> in_flight_{0};
     std::atomic<std::uint64_t> connections_{0};
-    server_counts counts_;
+    rejected_request_counts counts_;
     std::unique_ptr<context> context_;
 };
 
--- a/src/endpoint/connection.cpp
+++ b/src/endpoint/connection.cpp
@@ -81,7 +81,7 @@
                        names.end(),
                        [name](std::string_view one)
                        {
-                           return http::same_name({name.data(), name.size()}, one);
+                           return http::header_names_equal({name.data(), name.size()}, one);
                        });
 }
 
--- a/src/entry/call.cpp
+++ b/src/entry/call.cpp
@@ -65,7 +65,7 @@
                         own.end(),
                         [name](std::string_view one)
                         {
-                            return http::same_name(one, name);
+                            return http::header_names_equal(one, name);
                         });
 }
 
@@ -401,8 +401,8 @@
     std::erase_if(answer.headers,
                   [](const http::header& one)
                   {
-                      return http::same_name(one.name, outcome_header) ||
-                             http::same_name(one.name, "Plumspoke-Request");
+                      return http::header_names_equal(one.name, outcome_header) ||
+                             http::header_names_equal(one.name, "Plumspoke-Request");
                   });
     answer.headers.push_back({std::string(outcome_header), std::string(to_string(told))});
     const auto took = std::chrono::duration_cast<duration>(std::chrono::steady_clock::now() - call.started);
--- a/src/entry/pages.cpp
+++ b/src/entry/pages.cpp
@@ -133,7 +133,7 @@
     lines.push_back({"plumspoke_platform_lists_total", "result=\"garbled\"", polls.garbled});
     lines.push_back({"plumspoke_platform_lists_total", "result=\"empty\"", polls.empty});
     lines.push_back({"plumspoke_platform_lists_total", "result=\"older\"", polls.older});
-    const http::server_counts& bad = http_->counts();
+    const http::rejected_request_counts& bad = http_->counts();
     lines.push_back({"plumspoke_bad_requests_total", "reason=\"body_too_large\"", bad.body_too_large});
     lines.push_back({"plumspoke_bad_requests_total", "reason=\"body_too_short\"", bad.body_too_short});
     lines.push_back({"plumspoke_bad_requests_total", "reason=\"body_too_slow\"", bad.body_too_slow});
--- a/src/http/client.cpp
+++ b/src/http/client.cpp
@@ -13,9 +13,9 @@
 
 constexpr std::size_t error_size = 256;
 constexpr std::size_t read_chunk = 16 * 1024;
-constexpr std::size_t largest_answer = 64U << 20U;
+constexpr std::size_t max_answer_size = 64U << 20U;
 
-struct closer
+struct connection_closer
 {
     void operator()(mg_connection* connection) const noexcept
     {
@@ -23,7 +23,7 @@
     }
 };
 
-using connection_handle = std::unique_ptr<mg_connection, closer>;
+using connection_handle = std::unique_ptr<mg_connection, connection_closer>;
 
 std::string write_request(const std::string& address, const request& sent)
 {
@@ -38,18 +38,18 @@
     return out + "\r\n" + sent.body;
 }
 
-bool read_whole(mg_connection* connection, long long announced, std::string& body)
+bool read_body(mg_connection* connection, long long content_length, std::string& body)
 {
     std::array<char, read_chunk> chunk{};
-    while (announced < 0 || std::cmp_less(body.size(), announced))
+    while (content_length < 0 || std::cmp_less(body.size(), content_length))
     {
         const int count = mg_read(connection, chunk.data(), chunk.size());
         if (count <= 0)
         {
-            return announced < 0 && count == 0;
+            return content_length < 0 && count == 0;
         }
         body.append(chunk.data(), static_cast<std::size_t>(count));
-        if (body.size() > largest_answer)
+        if (body.size() > max_answer_size)
         {
             return false;
         }
@@ -95,7 +95,7 @@
         answer.headers.push_back({info->http_headers[i].name, info->http_headers[i].value});
     }
     answer.content_type = find_header(answer.headers, "Content-Type");
-    if (!read_whole(connection.get(), info->content_length, answer.body))
+    if (!read_body(connection.get(), info->content_length, answer.body))
     {
         return std::nullopt;
     }
--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -6,7 +6,7 @@
 namespace plumspoke::http
 {
 
-bool same_name(std::string_view left, std::string_view right) noexcept
+bool header_names_equal(std::string_view left, std::string_view right) noexcept
 {
     return left.size() == right.size() && std::equal(left.begin(),
                                                      left.end(),
@@ -23,7 +23,7 @@
                                     headers.end(),
                                     [name](const header& one)
                                     {
-                                        return same_name(one.name, name);
+                                        return header_names_equal(one.name, name);
                                     });
     return found == headers.end() ? std::string_view() : std::string_view(found->value);
 }
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -18,11 +18,12 @@
 {
 
 constexpr std::size_t read_chunk = 16 * 1024;
-// Above this share of its threads a server keeps no connection open after its answer; the rest serve bursts.
-constexpr double crowded_share = 0.75;
-constexpr auto idle_poll = milliseconds(25);
-/// @brief How the reading of a body ended.
-enum class body_end : std::uint8_t
+// If more than this share of the threads serve open connections, connections are closed after their response;
+// the remaining threads serve bursts.
+constexpr double keep_alive_thread_share = 0.75;
+constexpr auto poll_interval = milliseconds(25);
+/// @brief Result of reading a request body.
+enum class body_result : std::uint8_t
 {
     whole,
     too_large,
@@ -49,7 +50,7 @@
     mg_write(connection, out.data(), out.size());
 }
 
-/// @brief Leaves signals to other threads. CivetWeb ends a connection whose wait is interrupted.
+/// @brief Blocks all signals on the calling thread: CivetWeb closes a connection whose wait is interrupted.
 void block_signals()
 {
     sigset_t all;
@@ -73,7 +74,7 @@
     mg_context* civetweb = nullptr;
 };
 
-/// @brief What CivetWeb calls.
+/// @brief Callbacks invoked by CivetWeb.
 struct server::callbacks
 {
     static server& owner(const mg_connection* connection)
@@ -111,22 +112,22 @@
         return 1;
     }
 
-    static body_end read_body(mg_connection* connection, const server_options& options, std::string& body)
+    static body_result read_body(mg_connection* connection, const server_options& options, std::string& body)
     {
         const mg_request_info* info = mg_get_request_info(connection);
         const char* encoding = mg_get_header(connection, "Transfer-Encoding");
-        const long long announced = info->content_length;
-        if (announced <= 0 && encoding == nullptr)
+        const long long content_length = info->content_length;
+        if (content_length <= 0 && encoding == nullptr)
         {
-            return body_end::whole;
+            return body_result::whole;
         }
-        if (announced > options.max_body_bytes)
+        if (content_length > options.max_body_bytes)
         {
-            return body_end::too_large;
+            return body_result::too_large;
         }
         const auto limit = std::chrono::steady_clock::now() + milliseconds(options.read_ms);
         std::array<char, read_chunk> chunk{};
-        while (announced < 0 || std::cmp_less(body.size(), announced))
+        while (content_length < 0 || std::cmp_less(body.size(), content_length))
         {
             const int count = mg_read(connection, chunk.data(), chunk.size());
             if (count <= 0)
@@ -136,31 +137,31 @@
             body.append(chunk.data(), static_cast<std::size_t>(count));
             if (std::cmp_greater(body.size(), options.max_body_bytes))
             {
-                return body_end::too_large;
+                return body_result::too_large;
             }
             if (std::chrono::steady_clock::now() >= limit)
             {
-                return body_end::too_slow;
+                return body_result::too_slow;
             }
         }
-        return announced >= 0 && std::cmp_less(body.size(), announced) ? body_end::too_short
-                                                                       : body_end::whole;
+        return content_length >= 0 && std::cmp_less(body.size(), content_length) ? body_result::too_short
+                                                                                 : body_result::whole;
     }
 
-    static response refuse_body(server& self, body_end end)
+    static response refuse_body(server& self, body_result end)
     {
         switch (end)
         {
-        case body_end::too_large:
+        case body_result::too_large:
             ++self.counts_.body_too_large;
             return plain_error(
                 413, "The body is larger than " + std::to_string(self.options_.max_body_bytes) + " bytes.\n");
-        case body_end::too_slow:
+        case body_result::too_slow:
             ++self.counts_.body_too_slow;
             return plain_error(
                 408, "The body did not arrive within " + std::to_string(self.options_.read_ms) + " ms.\n");
-        case body_end::too_short:
-        case body_end::whole:
+        case body_result::too_short:
+        case body_result::whole:
             break;
         }
         ++self.counts_.body_too_short;
@@ -181,12 +182,13 @@
         {
             received.headers.push_back({info->http_headers[i].name, info->http_headers[i].value});
         }
-        const body_end end = read_body(connection, self.options_, received.body);
-        const response answer = end == body_end::whole ? self.handle_(received) : refuse_body(self, end);
-        // Idle connections, also silent ones, must not take the threads that the next callers need.
-        const bool crowded = self.is_crowded();
-        write_response(connection, answer, answer.close || self.draining_ || crowded);
-        if (crowded && end == body_end::whole)
+        const body_result end = read_body(connection, self.options_, received.body);
+        const response answer = end == body_result::whole ? self.handle_(received) : refuse_body(self, end);
+        // Idle connections, including those that never sent a request, must not occupy threads that new
+        // callers need.
+        const bool near_thread_limit = self.is_near_thread_limit();
+        write_response(connection, answer, answer.close || self.draining_ || near_thread_limit);
+        if (near_thread_limit && end == body_result::whole)
         {
             mg_disable_connection_keep_alive(connection);
         }
@@ -249,24 +251,26 @@
     return true;
 }
 
-bool server::is_crowded() const noexcept
+bool server::is_near_thread_limit() const noexcept
 {
-    return static_cast<double>(open_connections_) > crowded_share * static_cast<double>(options_.threads);
+    return static_cast<double>(open_connections_) >
+           keep_alive_thread_share * static_cast<double>(options_.threads);
 }
 
 bool server::wait_until_idle(time_point limit, duration settle) const
 {
-    const auto wanted = settle / duration(idle_poll);
-    // After the limit: a process that stood still has yet to read what has arrived. Looks are counted, so
-    // that a process that is suspended again and again ends all the same.
-    const auto late_looks = 1 + wanted / 4;
-    std::int64_t late = 0;
-    for (std::int64_t idle = 0; idle < wanted;)
+    const auto required_polls = settle / duration(poll_interval);
+    // A process that was suspended until the limit still has to read requests that arrived meanwhile, so
+    // polling continues for a while. Polls are counted, not timed, so that a repeatedly suspended process
+    // terminates too.
+    const auto max_polls_after_limit = 1 + required_polls / 4;
+    std::int64_t polls_after_limit = 0;
+    for (std::int64_t idle_polls = 0; idle_polls < required_polls;)
     {
-        std::this_thread::sleep_for(idle_poll);
-        idle = in_flight_ == 0 ? idle + 1 : 0;
-        late += std::chrono::steady_clock::now() >= limit ? 1 : 0;
-        if (late >= late_looks)
+        std::this_thread::sleep_for(poll_interval);
+        idle_polls = in_flight_ == 0 ? idle_polls + 1 : 0;
+        polls_after_limit += std::chrono::steady_clock::now() >= limit ? 1 : 0;
+        if (polls_after_limit >= max_polls_after_limit)
         {
             return in_flight_ == 0;
         }
