--- a/include/plumspoke/error/assert.hpp
+++ b/include/plumspoke/error/assert.hpp
@@ -1,13 +1,13 @@
 #pragma once
 
 /// @file
-/// @brief The one assert macro. Define PLUMSPOKE_ASSERT before this header to replace it.
+/// @brief The assertion macro. Define PLUMSPOKE_ASSERT before including this header to override it.
 
 #include <cstdio>
 #include <cstdlib>
 
 #ifndef PLUMSPOKE_ASSERT
-/// @brief Stops the process where a programming error shows; in release builds too.
+/// @brief Aborts the process if `condition` is false, also in release builds.
 #define PLUMSPOKE_ASSERT(condition)                                                                          \
     do                                                                                                       \
     {                                                                                                        \
--- a/include/plumspoke/error/category.hpp
+++ b/include/plumspoke/error/category.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief Error categories made from a table, so that each layer's errors have stable ids and one list.
+/// @brief Table-driven error categories: each layer has stable ids in one list.
 
 #include <span>
 #include <string>
@@ -11,7 +11,7 @@
 namespace plumspoke::error
 {
 
-/// @brief One documented error: its stable id, its short name and what it means.
+/// @brief One documented error: its stable id, short name and meaning.
 struct listed_error
 {
     int id;
@@ -19,7 +19,7 @@
     std::string_view meaning;
 };
 
-/// @brief A `std::error_category` whose messages come from a table.
+/// @brief A `std::error_category` whose messages are read from a table.
 /// @note docs/ERRORS.md lists the same tables; a test compares them.
 class listed_category final : public std::error_category
 {
@@ -34,7 +34,7 @@
         return name_;
     }
 
-    /// @brief Gives "name: meaning (plumspoke.id)".
+    /// @brief Returns "name: meaning (plumspoke.id)".
     /// @complexity Linear in the length of the table.
     [[nodiscard]] std::string message(int id) const override;
 
--- a/include/plumspoke/error/invariant.hpp
+++ b/include/plumspoke/error/invariant.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief What must always hold, by name. A broken one stops the process before it can answer wrongly.
+/// @brief Named invariants. A violation aborts the process before it can give a wrong answer.
 
 #include <array>
 #include <cstddef>
@@ -11,7 +11,7 @@
 namespace plumspoke::error
 {
 
-/// @brief The nine points of the brief, in its order.
+/// @brief Invariants that are checked at run time.
 enum class invariant : std::uint8_t
 {
     worker_within_capacity,
@@ -30,20 +30,20 @@
 /// @brief The name under which an invariant is counted and logged.
 [[nodiscard]] std::string_view to_string(invariant which) noexcept;
 
-/// @brief Called with a broken invariant. The default prints and aborts.
+/// @brief Called with a violated invariant. The default handler prints it to standard error and aborts.
 using invariant_handler = void (*)(invariant which, const char* where);
 
-/// @brief Replaces the handler; for tests that bring a violation about.
-/// @return the handler that was in place
+/// @brief Replaces the handler; for tests that provoke a violation.
+/// @return the previous handler
 invariant_handler set_invariant_handler(invariant_handler handler) noexcept;
 
-/// @brief Counts the check; where `holds` is false, calls the handler.
-/// @param which the invariant that is checked
-/// @param holds whether it holds here
-/// @param where a short fixed text that names the place
+/// @brief Counts the check and calls the handler if `holds` is false.
+/// @param which the checked invariant
+/// @param holds whether the invariant holds
+/// @param where a short constant string that identifies the call site
 void check_invariant(invariant which, bool holds, const char* where);
 
-/// @brief How often each invariant was checked and found broken since the start.
+/// @brief Number of checks and violations of each invariant since the start.
 struct invariant_counts
 {
     std::array<std::uint64_t, invariant_count> checked{};
--- a/include/plumspoke/vm_list/list.hpp
+++ b/include/plumspoke/vm_list/list.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief The platform's list of live and leaving VMs: read strictly, believed only forwards.
+/// @brief The platform's list of live and leaving VMs: parsed strictly; older versions are rejected.
 
 #include "plumspoke/error/category.hpp"
 #include "plumspoke/settings/checker.hpp"
@@ -24,7 +24,7 @@
 [[nodiscard]] const error::listed_category& category() noexcept;
 [[nodiscard]] std::error_code make_error_code(errc code) noexcept;
 
-/// @brief One list, whole.
+/// @brief One complete list.
 struct vm_list
 {
     std::uint64_t version = 0;
@@ -32,19 +32,19 @@
     std::set<std::string> leaving;
 };
 
-/// @brief Reads one list: `{"version": 7, "vms": [{"name": "w1", "state": "live"}]}`.
+/// @brief Parses one list: `{"version": 7, "vms": [{"name": "w1", "state": "live"}]}`.
 [[nodiscard]] vm_list parse_list(std::string_view text, std::error_code& error);
 
-/// @brief Keeps the last good list; a bad, empty or older one never replaces it.
-class list_keeper
+/// @brief Holds the last valid list; an invalid, empty or older one never replaces it.
+class list_cache
 {
   public:
-    /// @brief Takes a new list in.
-    /// @return why it was not believed; the last good one stays in force
-    std::error_code offer(std::string_view text);
+    /// @brief Parses a list and stores it if it is valid.
+    /// @return the reason for rejecting it; the last valid list is kept in this case
+    std::error_code update(std::string_view text);
 
-    /// @brief The list could not be had.
-    std::error_code note_unreachable() noexcept;
+    /// @brief Records that the list could not be fetched.
+    std::error_code mark_unreachable() noexcept;
 
     [[nodiscard]] const vm_list& current() const noexcept
     {
@@ -55,7 +55,7 @@
         return current_.leaving.contains(vm);
     }
 
-    /// @brief What was wrong with the newest answer, if anything.
+    /// @brief The error of the last update; empty if it succeeded.
     [[nodiscard]] std::error_code last_error() const noexcept
     {
         return last_error_;
--- a/include/plumspoke/vm_list/poller.hpp
+++ b/include/plumspoke/vm_list/poller.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief Reads the platform's list again and again, on a thread of its own.
+/// @brief Polls the platform's VM list on a separate thread.
 
 #include "plumspoke/time/time.hpp"
 #include "plumspoke/vm_list/list.hpp"
@@ -15,7 +15,7 @@
 namespace plumspoke::vm_list
 {
 
-/// @brief How each poll ended, by reason.
+/// @brief Number of polls by result.
 struct poll_counts
 {
     std::atomic<std::uint64_t> taken{0};
@@ -25,13 +25,13 @@
     std::atomic<std::uint64_t> older{0};
 };
 
-/// @brief Polls one address; tells the owner of each good list.
+/// @brief Polls one address and passes each valid list to a listener.
 class poller
 {
   public:
     using listener = std::function<void(const vm_list&)>;
 
-    /// @param address IP:PORT of the platform; empty: nothing is polled
+    /// @param address IP:PORT of the platform; polling is disabled if empty
     poller(std::string address, duration interval, listener on_list);
     poller(const poller&) = delete;
     poller& operator=(const poller&) = delete;
@@ -53,7 +53,7 @@
     std::string address_;
     duration interval_;
     listener on_list_;
-    list_keeper keeper_;
+    list_cache cache_;
     poll_counts counts_;
     std::mutex mutex_;
     std::condition_variable wake_;
--- a/src/error/invariant.cpp
+++ b/src/error/invariant.cpp
@@ -25,7 +25,7 @@
 std::array<std::atomic<std::uint64_t>, invariant_count> checked;
 std::array<std::atomic<std::uint64_t>, invariant_count> broken;
 
-void stop_process(invariant which, const char* where)
+void abort_on_violation(invariant which, const char* where)
 {
     const std::string_view name = to_string(which);
     std::fprintf(
@@ -33,7 +33,7 @@
     std::abort();
 }
 
-std::atomic<invariant_handler> handler{&stop_process};
+std::atomic<invariant_handler> handler{&abort_on_violation};
 
 } // namespace
 
@@ -44,18 +44,18 @@
 
 invariant_handler set_invariant_handler(invariant_handler replacement) noexcept
 {
-    return handler.exchange(replacement == nullptr ? &stop_process : replacement);
+    return handler.exchange(replacement == nullptr ? &abort_on_violation : replacement);
 }
 
 void check_invariant(invariant which, bool holds, const char* where)
 {
-    const auto position = static_cast<std::size_t>(which);
-    checked.at(position).fetch_add(1, std::memory_order_relaxed);
+    const auto index = static_cast<std::size_t>(which);
+    checked.at(index).fetch_add(1, std::memory_order_relaxed);
     if (holds)
     {
         return;
     }
-    broken.at(position).fetch_add(1, std::memory_order_relaxed);
+    broken.at(index).fetch_add(1, std::memory_order_relaxed);
     handler.load()(which, where);
 }
 
--- a/src/vm_list/list.cpp
+++ b/src/vm_list/list.cpp
@@ -59,23 +59,23 @@
     return result;
 }
 
-std::error_code list_keeper::offer(std::string_view text)
+std::error_code list_cache::update(std::string_view text)
 {
     std::error_code error;
-    vm_list offered = parse_list(text, error);
-    if (!error && offered.version < current_.version)
+    vm_list parsed = parse_list(text, error);
+    if (!error && parsed.version < current_.version)
     {
         error = errc::older;
     }
     if (!error)
     {
-        current_ = std::move(offered);
+        current_ = std::move(parsed);
     }
     last_error_ = error;
     return error;
 }
 
-std::error_code list_keeper::note_unreachable() noexcept
+std::error_code list_cache::mark_unreachable() noexcept
 {
     last_error_ = errc::unreachable;
     return last_error_;
--- a/src/vm_list/poller.cpp
+++ b/src/vm_list/poller.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-constexpr auto answer_limit = milliseconds(1000);
+constexpr auto response_timeout = milliseconds(1000);
 constexpr const char* part = "platform";
 
 } // namespace
@@ -71,19 +71,19 @@
     http::request request;
     request.method = "GET";
     request.path = "/v1/vms";
-    const std::optional<http::response> answer = http::call(address_, request, answer_limit);
-    const std::error_code before = keeper_.last_error();
+    const std::optional<http::response> answer = http::call(address_, request, response_timeout);
+    const std::error_code before = cache_.last_error();
     const bool usable = answer.has_value() && answer->status == 200;
-    const std::error_code error = usable ? keeper_.offer(answer->body) : keeper_.note_unreachable();
+    const std::error_code error = usable ? cache_.update(answer->body) : cache_.mark_unreachable();
     count(error);
     if (error != before)
     {
-        PLUMSPOKE_LOG(INFO, part) << (error ? error.message() : std::string("The list is good again."))
+        PLUMSPOKE_LOG(INFO, part) << (error ? error.message() : std::string("the VM list is valid again"))
                                   << ".";
     }
     if (!error)
     {
-        on_list_(keeper_.current());
+        on_list_(cache_.current());
     }
 }
 
