--- a/include/plumspoke/logging/event.hpp
+++ b/include/plumspoke/logging/event.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief Structured log lines: one JSON object a line on standard output, bounded, never blocking.
+/// @brief Structured logging: one JSON object per line on standard output, rate-limited and non-blocking.
 
 #include "plumspoke/time/time.hpp"
 
@@ -13,12 +13,12 @@
 namespace plumspoke::logging
 {
 
-/// @brief One decision or change of belief: its name, a short sentence, and the inputs that decided.
+/// @brief A log event for a decision or state change: name, message and the inputs of the decision.
 class event
 {
   public:
-    /// @param part the part of the program that speaks
-    /// @param name stays the same over releases, so that it can be searched for
+    /// @param part the component that logs the event
+    /// @param name event name; stable across releases so that it can be searched for
     /// @param message a short sentence
     event(std::string_view part, std::string_view name, std::string message);
 
@@ -30,7 +30,7 @@
         return name_;
     }
 
-    /// @brief The whole line, without its end.
+    /// @brief The complete line without the newline.
     [[nodiscard]] std::string to_json(std::int64_t time_ms) const;
 
   private:
@@ -41,19 +41,20 @@
         std::int64_t number = 0;
         bool is_text = true;
     };
-    std::string_view part_; // names are literals
+    std::string_view part_; // views of string literals
     std::string_view name_;
     std::string message_;
     std::vector<field> fields_;
 };
 
-/// @brief Chooses structured lines on standard output in place of plain ones.
+/// @brief Switches logging from plain lines to structured lines on standard output.
 void start_structured(std::string_view process);
 
-/// @brief Writes an event, unless its kind has used up its lines of this second or the reader is behind.
+/// @brief Writes an event. Drops it if the limit for its name in this second is reached or if standard output
+///        would block.
 void write(const event& what);
 
-/// @brief Lines that were left out since the start: by the budget, and because the reader was behind.
+/// @brief Lines dropped since the start: by the rate limit, and because standard output would have blocked.
 struct dropped_lines
 {
     std::uint64_t over_budget = 0;
--- a/include/plumspoke/logging/logging.hpp
+++ b/include/plumspoke/logging/logging.hpp
@@ -1,18 +1,18 @@
 #pragma once
 
 /// @file
-/// @brief Log lines: a fixed prefix for each part, short sentences, no payload and no secret.
+/// @brief Plain log lines: a fixed prefix per component and a short sentence, without payloads or secrets.
 
 #include <easylogging++.h>
 
 namespace plumspoke::logging
 {
 
-/// @brief Sets the format and writes to standard error.
-/// @param verbose whether debug lines are shown too
+/// @brief Sets the format of plain log lines and writes them to standard output.
+/// @param verbose whether debug lines are written
 void start(bool verbose);
 
 } // namespace plumspoke::logging
 
-/// @brief One line of a part: `PLUMSPOKE_LOG(INFO, "entry") << "Started.";`
+/// @brief Logs one line of a component: `PLUMSPOKE_LOG(INFO, "entry") << "Started.";`
 #define PLUMSPOKE_LOG(level, part) LOG(level) << (part) << ": "
--- a/src/logging/event.cpp
+++ b/src/logging/event.cpp
@@ -17,33 +17,34 @@
 namespace
 {
 
-// Lines a second for each kind of event: ten readable screens a minute at the worst, and the measured
-// 12 us a line keep logging under a thousandth of a core.
+// Per event name. A line takes 12 us, so one event uses less than a thousandth of a core, and at most about
+// ten screens of lines are written per minute.
 constexpr int lines_per_second = 40;
 
-/// @brief How many lines of one kind were written in the present second.
-struct budget
+/// @brief Number of lines written for one event name in the current second.
+struct line_budget
 {
     std::int64_t second = 0;
     int used = 0;
-    std::uint64_t left_out = 0;
+    std::uint64_t dropped = 0;
 };
 
-// Texts come from callers (paths, host names). This is past what a search needs, and ten of them stay within
-// what a pipe takes in one piece.
-constexpr std::size_t longest_text = 300;
+// Texts come from callers (paths, host names). This is long enough for searches, and ten such texts fit into
+// one atomic pipe write (PIPE_BUF).
+constexpr std::size_t max_text_length = 300;
 
 std::mutex budgets_mutex;
-std::map<std::string, budget, std::less<>> budgets;
+std::map<std::string, line_budget, std::less<>> budgets;
 std::atomic<std::uint64_t> over_budget{0};
 std::atomic<std::uint64_t> not_writable{0};
-std::string process_name; // set once before threads start
+std::string process_name; // set once before threads are started
 std::atomic<bool> structured{false};
 
-/// @brief Writes to standard output only where that doesn't wait.
-bool write_without_waiting(std::string_view line)
+/// @brief Writes to standard output if that doesn't block.
+/// @return false if the line was not written completely
+bool write_nonblocking(std::string_view line)
 {
-    // A pipe that is ready takes PIPE_BUF bytes at once; the rest of a longer line would wait for the reader.
+    // A writable pipe accepts PIPE_BUF bytes without blocking; a longer line could block on the reader.
     if (line.size() > PIPE_BUF)
     {
         return false;
@@ -56,14 +57,15 @@
     return ::write(STDOUT_FILENO, line.data(), line.size()) == static_cast<ssize_t>(line.size());
 }
 
-/// @brief Takes one line from the budget of its kind.
-/// @param left_out receives how many lines were left out before this one
-bool take_line(std::string_view name, std::int64_t now_ms, std::uint64_t& left_out)
+/// @brief Takes one line from the line_budget of an event name.
+/// @param dropped receives the number of lines dropped since the last written one
+/// @return false if the line_budget is used up
+bool take_from_budget(std::string_view name, std::int64_t now_ms, std::uint64_t& dropped)
 {
     constexpr std::int64_t ms_per_second = 1000;
     const std::lock_guard lock(budgets_mutex);
     const auto found = budgets.find(name);
-    budget& of = found == budgets.end() ? budgets[std::string(name)] : found->second;
+    line_budget& of = found == budgets.end() ? budgets[std::string(name)] : found->second;
     if (of.second != now_ms / ms_per_second)
     {
         of.second = now_ms / ms_per_second;
@@ -71,17 +73,17 @@
     }
     if (of.used >= lines_per_second)
     {
-        ++of.left_out;
+        ++of.dropped;
         ++over_budget;
         return false;
     }
     ++of.used;
-    left_out = std::exchange(of.left_out, 0);
+    dropped = std::exchange(of.dropped, 0);
     return true;
 }
 
-/// @brief Hands easylogging++'s lines to the same bounded writer.
-class bounded_dispatch final : public el::LogDispatchCallback
+/// @brief Redirects easylogging++ lines to the non-blocking writer.
+class nonblocking_dispatch final : public el::LogDispatchCallback
 {
   protected:
     void handle(const el::LogDispatchData* data) override
@@ -95,8 +97,7 @@
                                {"part", colon == std::string::npos ? "" : text.substr(0, colon)},
                                {"event", "log"},
                                {"message", colon == std::string::npos ? text : text.substr(colon + 2)}};
-        if (!write_without_waiting(line.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace) +
-                                   "\n"))
+        if (!write_nonblocking(line.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace) + "\n"))
         {
             ++not_writable;
         }
@@ -112,7 +113,7 @@
 
 event& event::with(std::string_view key, std::string_view value)
 {
-    fields_.push_back({std::string(key), std::string(value.substr(0, longest_text)), 0, true});
+    fields_.push_back({std::string(key), std::string(value.substr(0, max_text_length)), 0, true});
     return *this;
 }
 
@@ -148,7 +149,7 @@
 {
     process_name = process;
     start(false);
-    el::Helpers::installLogDispatchCallback<bounded_dispatch>("bounded");
+    el::Helpers::installLogDispatchCallback<nonblocking_dispatch>("bounded");
     el::Helpers::uninstallLogDispatchCallback<el::base::DefaultLogDispatchCallback>(
         "DefaultLogDispatchCallback");
     structured = true;
@@ -161,17 +162,17 @@
         return;
     }
     const std::int64_t now_ms = time_of_day_ms();
-    std::uint64_t left_out = 0;
-    if (!take_line(what.name(), now_ms, left_out))
+    std::uint64_t dropped = 0;
+    if (!take_from_budget(what.name(), now_ms, dropped))
     {
         return;
     }
     event line = what;
-    if (left_out > 0)
+    if (dropped > 0)
     {
-        line.with("left_out_before", static_cast<std::int64_t>(left_out));
+        line.with("left_out_before", static_cast<std::int64_t>(dropped));
     }
-    if (!write_without_waiting(line.to_json(now_ms) + "\n"))
+    if (!write_nonblocking(line.to_json(now_ms) + "\n"))
     {
         ++not_writable;
     }
