--- a/include/plumspoke/fleet/announcement.hpp
+++ b/include/plumspoke/fleet/announcement.hpp
@@ -57,9 +57,8 @@
     /// @return false if a newer announcement of the same life was already received
     bool receive(time_point now, const announcement& heard);
 
-    /// @brief Handles a goodbye, which names a worker id but no life. It is attributed to the leaving lives,
-    /// or,
-    ///        if none is leaving, marks every life of the id as unconfirmed.
+    /// @brief Handles a goodbye, which names a worker id but no life. It ends the leaving lives of
+    ///        the id or, if none is leaving, marks all of them as unconfirmed.
     /// @return the updated announcements of the affected lives
     std::vector<announcement> handle_goodbye(time_point now, const std::string& id);
 
--- a/include/plumspoke/metrics/metrics.hpp
+++ b/include/plumspoke/metrics/metrics.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief Counters by name and label, and latency histograms; written as Prometheus text.
+/// @brief Counters with labels and latency histograms in the Prometheus text format.
 
 #include <array>
 #include <atomic>
@@ -18,7 +18,7 @@
 namespace plumspoke::metrics
 {
 
-/// @brief A count that only grows.
+/// @brief A monotonically increasing counter.
 class counter
 {
   public:
@@ -35,7 +35,7 @@
     std::atomic<std::uint64_t> value_{0};
 };
 
-/// @brief Times in microseconds, on logarithmic bins (Boost.Histogram with atomic counts).
+/// @brief Histogram of durations in microseconds with logarithmic bins (Boost.Histogram, atomic counts).
 class latency_histogram
 {
   public:
@@ -44,10 +44,10 @@
     latency_histogram& operator=(const latency_histogram&) = delete;
     ~latency_histogram();
 
-    /// @brief Counts one time; lock-free.
+    /// @brief Records one duration; lock-free.
     void record(std::int64_t microseconds) noexcept;
 
-    /// @brief An upper bound of the quantile, in microseconds; 0 where nothing was counted.
+    /// @brief An upper bound of the quantile in microseconds; 0 if the histogram is empty.
     [[nodiscard]] double quantile(double share) const;
     [[nodiscard]] std::uint64_t count() const;
 
@@ -60,7 +60,7 @@
     std::atomic<std::uint64_t> sum_us_{0};
 };
 
-/// @brief One counter as it is written: for the list in docs/COUNTERS.md too.
+/// @brief One counter in the metrics output; docs/COUNTERS.md lists them.
 struct counter_line
 {
     std::string name;
@@ -68,13 +68,13 @@
     std::uint64_t value = 0;
 };
 
-/// @brief Escapes a label's value.
+/// @brief Formats a label as `key="value"` with the value escaped.
 [[nodiscard]] std::string label(std::string_view key, std::string_view value);
 
-/// @brief Adds how often each invariant was checked and found broken.
+/// @brief Adds counters of the checks and violations of each invariant.
 void add_invariant_lines(std::vector<counter_line>& lines);
 
-/// @brief Writes lines with one HELP and TYPE a name.
+/// @brief Formats counters, with one TYPE line for each name.
 [[nodiscard]] std::string write_counters(std::span<const counter_line> lines);
 
 } // namespace plumspoke::metrics
--- a/include/plumspoke/metrics/thread_meter.hpp
+++ b/include/plumspoke/metrics/thread_meter.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief Processor time of one thread, by what it is spent on.
+/// @brief CPU time of one thread by the part of the loop that used it.
 
 #include <array>
 #include <atomic>
@@ -11,30 +11,30 @@
 namespace plumspoke::metrics
 {
 
-/// @brief What a leader's loop spends its thread's processor time on.
+/// @brief Parts of a leader's event loop whose CPU time is measured.
 enum class loop_part : std::uint8_t
 {
-    transport, // all that no other part counts: sockets, timers, the handing over between threads
-    follow,    // whether this replica leads
-    take_over, // a term's beginning
-    decide,    // decisions other than those below
-    watch,     // runs that stand still or lag, and the summary
+    transport, // everything outside the other parts: sockets, timers, handover between threads
+    follow,    // following the leadership of this replica
+    take_over, // start of a term
+    decide,    // decisions not covered by the parts below
+    watch,     // detection of stalled and lagging runs, and the summary
     place,
     announcements,
     answers,
-    rounds, // records that were committed
+    rounds, // committed records
     read_answer,
     write_order,
-    carry_out, // handing rounds and orders on
+    carry_out, // dispatch of rounds and orders
     log,
 };
 inline constexpr std::size_t loop_part_count = 13;
 
-/// @brief The name of a part, for labels and log lines.
+/// @brief The name of a part in labels and log lines.
 [[nodiscard]] std::string_view to_string(loop_part value) noexcept;
 
-/// @brief Adds up a thread's processor time; each moment counts for one part, the innermost that is open.
-/// @note Started and written by one thread, read by all.
+/// @brief Accumulates a thread's CPU time by part; time is attributed to the innermost active part only.
+/// @note Written by the measured thread only; may be read by any thread.
 class thread_meter
 {
   public:
@@ -43,22 +43,22 @@
     thread_meter& operator=(const thread_meter&) = delete;
     ~thread_meter();
 
-    /// @brief Begins to measure the calling thread, of which this becomes the meter.
+    /// @brief Starts measuring the calling thread and registers this object as its meter.
     void start() noexcept;
 
-    /// @brief Begins a part within the one that is open.
-    /// @return the part that was open
+    /// @brief Starts a part nested in the active one.
+    /// @return the part that was active
     loop_part begin(loop_part inner) noexcept;
 
-    /// @brief Ends the part that is open; the outer one goes on.
+    /// @brief Ends the active part and resumes the outer one.
     void end(loop_part outer) noexcept;
 
     [[nodiscard]] std::uint64_t microseconds(loop_part part) const noexcept;
 
-    /// @brief How often a part was begun.
+    /// @brief Number of times a part was started.
     [[nodiscard]] std::uint64_t passes(loop_part part) const noexcept;
 
-    /// @brief The meter of the calling thread; nothing where none was started.
+    /// @brief The meter of the calling thread, or nullptr if none was started.
     [[nodiscard]] static thread_meter* of_this_thread() noexcept;
 
   private:
@@ -70,28 +70,28 @@
         std::atomic<std::uint64_t> passes{0};
     };
     std::array<sum, loop_part_count> sums_;
-    std::uint64_t counted_until_ns_ = 0; // on the thread's processor clock
-    loop_part open_ = loop_part::transport;
+    std::uint64_t last_reading_ns_ = 0; // on the thread's CPU clock
+    loop_part active_part_ = loop_part::transport;
 };
 
-/// @brief Counts the processor time of a scope for one part; of threads without a meter nothing is read.
-class measured_part
+/// @brief Attributes the CPU time of a scope to one part; does nothing on threads without a meter.
+class scoped_loop_part
 {
   public:
-    explicit measured_part(loop_part part) noexcept;
-    measured_part(const measured_part&) = delete;
-    measured_part& operator=(const measured_part&) = delete;
-    ~measured_part();
+    explicit scoped_loop_part(loop_part part) noexcept;
+    scoped_loop_part(const scoped_loop_part&) = delete;
+    scoped_loop_part& operator=(const scoped_loop_part&) = delete;
+    ~scoped_loop_part();
 
   private:
     thread_meter* meter_;
     loop_part outer_ = loop_part::transport;
 };
 
-/// @brief Processor time of the calling thread so far, in nanoseconds.
+/// @brief CPU time of the calling thread in nanoseconds; 0 if the clock can't be read.
 [[nodiscard]] std::uint64_t read_thread_nanoseconds() noexcept;
 
-/// @brief Processor time of the process so far, in microseconds.
+/// @brief CPU time of the process in microseconds; 0 if the clock can't be read.
 [[nodiscard]] std::uint64_t read_process_microseconds() noexcept;
 
 } // namespace plumspoke::metrics
--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -202,7 +202,7 @@
     measure_cancel_latency(day_ms, state, out);
     if (now >= next_watch_at_)
     {
-        const metrics::measured_part watching(metrics::loop_part::watch);
+        const metrics::scoped_loop_part watching(metrics::loop_part::watch);
         next_watch_at_ = now + watch_interval;
         if (now >= next_sweep_at_)
         {
--- a/src/dispatch/placement.cpp
+++ b/src/dispatch/placement.cpp
@@ -44,7 +44,7 @@
 
 void dispatcher::place(time_point now, std::int64_t day_ms, const jobs::store& state, jobs::round& round)
 {
-    const metrics::measured_part placing(metrics::loop_part::place);
+    const metrics::scoped_loop_part placing(metrics::loop_part::place);
     begin_placement(now);
     const std::vector<ready_step> ready = find_ready_steps(day_ms, state);
     const std::size_t max_starts = std::min(options_.max_starts_per_round, overload_.starts_allowed());
--- a/src/job_server/control_http.cpp
+++ b/src/job_server/control_http.cpp
@@ -275,7 +275,7 @@
     boost::asio::post(context_,
                       [this, now, changed]
                       {
-                          const metrics::measured_part measured(metrics::loop_part::announcements);
+                          const metrics::scoped_loop_part measured(metrics::loop_part::announcements);
                           for (const fleet::announcement& one : changed)
                           {
                               dispatcher_.announced(now, one);
@@ -306,7 +306,7 @@
     boost::asio::post(context_,
                       [this, now, known = std::move(known)]
                       {
-                          const metrics::measured_part measured(metrics::loop_part::announcements);
+                          const metrics::scoped_loop_part measured(metrics::loop_part::announcements);
                           for (const fleet::announcement& one : known)
                           {
                               if (!dispatcher_.refresh_liveness(now, one.life))
--- a/src/job_server/control_loop.cpp
+++ b/src/job_server/control_loop.cpp
@@ -26,7 +26,7 @@
 constexpr auto rest_period = milliseconds(2);
 
 using metrics::loop_part;
-using metrics::measured_part;
+using metrics::scoped_loop_part;
 
 std::int64_t microseconds_since(time_point started_at)
 {
@@ -146,7 +146,7 @@
     step_scheduled_ = false;
     // Read the clock before checking leadership: the leases of orders are counted from this time.
     const time_point now = std::chrono::steady_clock::now();
-    const measured_part following(loop_part::follow);
+    const scoped_loop_part following(loop_part::follow);
     const replica::replica_status status = driver_->status();
     update_leadership(now, status);
     if (!dispatcher_.leading())
@@ -174,7 +174,7 @@
 
 dispatch::dispatch_output control_server::decide(time_point now)
 {
-    const measured_part deciding(loop_part::decide);
+    const scoped_loop_part deciding(loop_part::decide);
     const time_point started_at = std::chrono::steady_clock::now();
     dispatch::dispatch_output decided = state_machine_.read(
         [this, now](const jobs::store& state)
@@ -200,7 +200,7 @@
     {
         return;
     }
-    const measured_part reporting(loop_part::log);
+    const scoped_loop_part reporting(loop_part::log);
     const loop_totals totals = read_totals(status);
     const dispatch::unconfirmed_runs open = dispatcher_.count_unconfirmed(now);
     {
@@ -308,7 +308,7 @@
     }
     ++counts_.leader_changes;
     window_ = {};
-    const measured_part taking_over(loop_part::take_over);
+    const scoped_loop_part taking_over(loop_part::take_over);
     const time_point started_at = std::chrono::steady_clock::now();
     state_machine_.read(
         [&](const jobs::store& state)
@@ -348,10 +348,10 @@
 
 void control_server::execute(dispatch::dispatch_output& decided)
 {
-    const measured_part carrying_out(loop_part::carry_out);
+    const scoped_loop_part carrying_out(loop_part::carry_out);
     const time_point started_at = std::chrono::steady_clock::now();
     {
-        const measured_part writing(loop_part::log);
+        const scoped_loop_part writing(loop_part::log);
         for (const logging::event& one : decided.events)
         {
             logging::write(one);
@@ -397,7 +397,7 @@
                                  {
                                      accepted = jobs::decode_answer(result.answer).starts_accepted;
                                  }
-                                 const measured_part answering(loop_part::rounds);
+                                 const scoped_loop_part answering(loop_part::rounds);
                                  dispatcher_.round_ended(std::chrono::steady_clock::now(), id, accepted);
                                  schedule_step();
                              });
--- a/src/job_server/control_server.cpp
+++ b/src/job_server/control_server.cpp
@@ -77,7 +77,7 @@
         workers_,
         [this](const dispatch::sent_order& sent, const dispatch::worker_answer& got)
         {
-            const metrics::measured_part answering(metrics::loop_part::answers);
+            const metrics::scoped_loop_part answering(metrics::loop_part::answers);
             const time_point now = std::chrono::steady_clock::now();
             call_times_.record(std::chrono::duration_cast<duration>(now - sent.sent_at).count());
             dispatcher_.answered(now, sent, got);
--- a/src/job_server/worker_client.cpp
+++ b/src/job_server/worker_client.cpp
@@ -270,7 +270,7 @@
             return;
         }
         order_written_ = !verifying_incarnation_;
-        const metrics::measured_part writing(metrics::loop_part::write_order);
+        const metrics::scoped_loop_part writing(metrics::loop_part::write_order);
         request_ = to_text(owner_->protocol_.write(order), to_.address);
         // Restarted here: if this thread is late, connecting would otherwise have used up the timeout.
         start_timeout(timeout_of(order));
@@ -335,7 +335,7 @@
 
     [[nodiscard]] dispatch::worker_answer read_answer(const http::response& plain) const
     {
-        const metrics::measured_part reading(metrics::loop_part::read_answer);
+        const metrics::scoped_loop_part reading(metrics::loop_part::read_answer);
         return owner_->protocol_.read(
             verifying_incarnation_ ? dispatch::order(make_identity_query(current_->what)) : current_->what,
             plain);
--- a/src/metrics/metrics.cpp
+++ b/src/metrics/metrics.cpp
@@ -18,7 +18,7 @@
 constexpr unsigned bin_count = 120;
 constexpr double lowest_us = 10;
 constexpr double highest_us = 600e6;
-constexpr unsigned bins_per_bucket = 6; // the text page shows every sixth edge
+constexpr unsigned bins_per_bucket = 6; // the text format has one bucket for every six bins
 constexpr double microseconds_per_second = 1e6;
 
 using log_axis =
--- a/src/metrics/thread_meter.cpp
+++ b/src/metrics/thread_meter.cpp
@@ -12,7 +12,7 @@
 constexpr std::uint64_t nanoseconds_per_second = 1'000'000'000;
 constexpr std::uint64_t nanoseconds_per_microsecond = 1000;
 
-thread_local thread_meter* meter_of_thread = nullptr;
+thread_local thread_meter* current_meter = nullptr;
 
 std::uint64_t read_nanoseconds(clockid_t clock) noexcept
 {
@@ -68,38 +68,38 @@
 
 thread_meter::~thread_meter()
 {
-    if (meter_of_thread == this)
+    if (current_meter == this)
     {
-        meter_of_thread = nullptr;
+        current_meter = nullptr;
     }
 }
 
 void thread_meter::start() noexcept
 {
-    meter_of_thread = this;
-    counted_until_ns_ = read_thread_nanoseconds();
+    current_meter = this;
+    last_reading_ns_ = read_thread_nanoseconds();
 }
 
 void thread_meter::count() noexcept
 {
     const std::uint64_t now_ns = read_thread_nanoseconds();
-    // A clock that doesn't count, or goes back, adds nothing.
-    const std::uint64_t passed = now_ns > counted_until_ns_ ? now_ns - counted_until_ns_ : 0;
-    counted_until_ns_ = now_ns;
-    sums_.at(index_of(open_)).nanoseconds.fetch_add(passed, std::memory_order_relaxed);
+    // A clock that can't be read or goes backwards adds nothing.
+    const std::uint64_t passed = now_ns > last_reading_ns_ ? now_ns - last_reading_ns_ : 0;
+    last_reading_ns_ = now_ns;
+    sums_.at(index_of(active_part_)).nanoseconds.fetch_add(passed, std::memory_order_relaxed);
 }
 
 loop_part thread_meter::begin(loop_part inner) noexcept
 {
     count();
     sums_.at(index_of(inner)).passes.fetch_add(1, std::memory_order_relaxed);
-    return std::exchange(open_, inner);
+    return std::exchange(active_part_, inner);
 }
 
 void thread_meter::end(loop_part outer) noexcept
 {
     count();
-    open_ = outer;
+    active_part_ = outer;
 }
 
 std::uint64_t thread_meter::microseconds(loop_part part) const noexcept
@@ -114,10 +114,10 @@
 
 thread_meter* thread_meter::of_this_thread() noexcept
 {
-    return meter_of_thread;
+    return current_meter;
 }
 
-measured_part::measured_part(loop_part part) noexcept : meter_(thread_meter::of_this_thread())
+scoped_loop_part::scoped_loop_part(loop_part part) noexcept : meter_(thread_meter::of_this_thread())
 {
     if (meter_ != nullptr)
     {
@@ -125,7 +125,7 @@
     }
 }
 
-measured_part::~measured_part()
+scoped_loop_part::~scoped_loop_part()
 {
     if (meter_ != nullptr)
     {
--- a/tests/src/unit-thread_meter.cpp
+++ b/tests/src/unit-thread_meter.cpp
@@ -44,10 +44,10 @@
             meter.start();
             const std::uint64_t begun = read_thread_nanoseconds();
             {
-                const measured_part outer(loop_part::decide);
+                const scoped_loop_part outer(loop_part::decide);
                 spend();
                 {
-                    const measured_part inner(loop_part::place);
+                    const scoped_loop_part inner(loop_part::place);
                     spend();
                     spend();
                 }
@@ -73,7 +73,7 @@
         []
         {
             CHECK(thread_meter::of_this_thread() == nullptr);
-            const measured_part nothing(loop_part::decide);
+            const scoped_loop_part nothing(loop_part::decide);
         })
         .join();
 }
