--- a/include/plumspoke/settings/checker.hpp
+++ b/include/plumspoke/settings/checker.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief Reads JSON objects strictly: each fault is one message with its path in the document.
+/// @brief Strict validation of JSON objects: each fault has a message and a path in the document.
 
 #include <cstdint>
 #include <limits>
@@ -14,7 +14,7 @@
 namespace plumspoke::settings
 {
 
-/// @brief One fault of a document: where it is and what is wrong.
+/// @brief A validation fault: its path in the document and a message.
 struct fault
 {
     std::string path;
@@ -23,45 +23,46 @@
     bool operator==(const fault&) const = default;
 };
 
-/// @brief The range that an integer must lie in, both ends included.
+/// @brief Inclusive range of valid integers.
 struct range
 {
     std::int64_t lowest = 0;
     std::int64_t highest = std::numeric_limits<std::int64_t>::max();
 };
 
-/// @brief Reads one object of a document and remembers which keys were asked for.
-/// @note Call finish last: what was not asked for is an unknown key.
+/// @brief Reads one object of a document and records which keys were requested.
+/// @note Call finish last: every key that wasn't requested is reported as unknown.
 class object_reader
 {
   public:
-    /// @param value the object; anything else is a fault
-    /// @param path where it stands, such as `/services/0`
-    /// @param faults receives what is wrong
+    /// @param value the object; any other type is reported as a fault
+    /// @param path path in the document, such as `/services/0`
+    /// @param faults receives one entry for each fault
     object_reader(const nlohmann::json& value, std::string path, std::vector<fault>& faults);
 
     [[nodiscard]] std::string required_string(const char* key);
-    [[nodiscard]] std::string optional_string(const char* key, std::string_view otherwise);
+    [[nodiscard]] std::string optional_string(const char* key, std::string_view default_value);
     [[nodiscard]] std::int64_t required_integer(const char* key, range allowed);
-    [[nodiscard]] std::int64_t optional_integer(const char* key, std::int64_t otherwise, range allowed);
-    [[nodiscard]] double optional_number(const char* key, double otherwise, double lowest, double highest);
-    [[nodiscard]] bool optional_bool(const char* key, bool otherwise);
+    [[nodiscard]] std::int64_t optional_integer(const char* key, std::int64_t default_value, range allowed);
+    [[nodiscard]] double
+    optional_number(const char* key, double default_value, double lowest, double highest);
+    [[nodiscard]] bool optional_bool(const char* key, bool default_value);
 
-    /// @brief A text that must be one of `choices`.
-    /// @return its position; that of `otherwise` where it is missing or wrong
+    /// @brief Reads a string that must be one of `choices`.
+    /// @return its index, or `default_value` if the key is missing or invalid
     [[nodiscard]] std::size_t
-    optional_choice(const char* key, std::vector<std::string_view> choices, std::size_t otherwise);
+    optional_choice(const char* key, std::vector<std::string_view> choices, std::size_t default_value);
 
-    /// @brief An array, or an empty one where the key is missing.
+    /// @brief Reads an array; empty if the key is missing.
     [[nodiscard]] const nlohmann::json& optional_array(const char* key);
 
-    /// @brief An object or array of objects as it stands; null where missing.
+    /// @brief Returns a value without validation; null if the key is missing.
     [[nodiscard]] const nlohmann::json& optional_value(const char* key);
 
     [[nodiscard]] std::string path_of(std::string_view key) const;
     void add_fault(std::string_view key, std::string message);
 
-    /// @brief Reports the keys that nobody asked for.
+    /// @brief Reports keys that were not requested.
     void finish();
 
   private:
@@ -70,10 +71,10 @@
     const nlohmann::json& value_;
     std::string path_;
     std::vector<fault>& faults_;
-    std::set<std::string> asked_;
+    std::set<std::string> requested_keys_;
 };
 
-/// @brief Parses text; a syntax error becomes one fault with its byte.
+/// @brief Parses JSON text; a syntax error is reported as one fault with its byte offset.
 [[nodiscard]] nlohmann::json parse_text(std::string_view text, std::vector<fault>& faults);
 
 } // namespace plumspoke::settings
--- a/include/plumspoke/settings/document.hpp
+++ b/include/plumspoke/settings/document.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief Reads whole files, as they are or as JSON documents.
+/// @brief Reads files as text or as JSON documents.
 
 #include "plumspoke/settings/checker.hpp"
 
@@ -12,13 +12,13 @@
 namespace plumspoke::settings
 {
 
-/// @brief A file's bytes.
-/// @return nothing where the file can't be opened
+/// @brief Reads a file.
+/// @return its content, or std::nullopt if the file can't be opened
 [[nodiscard]] std::optional<std::string> read_text(const std::string& path);
 
-/// @brief A file's JSON.
-/// @param faults receives one fault where the file can't be opened or is not JSON
-/// @return null where there is a fault
+/// @brief Reads a JSON file.
+/// @param faults receives one fault if the file can't be opened or isn't valid JSON
+/// @return the document; null if there is a fault
 [[nodiscard]] nlohmann::json read_document(const std::string& path, std::vector<fault>& faults);
 
 } // namespace plumspoke::settings
--- a/include/plumspoke/settings/http_options.hpp
+++ b/include/plumspoke/settings/http_options.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief The bounds of an HTTP server, from the settings of the process that runs it.
+/// @brief Builds the options of an HTTP server from process settings.
 
 #include "plumspoke/http/server.hpp"
 
@@ -10,7 +10,7 @@
 namespace plumspoke::settings
 {
 
-/// @brief The limits that `settings` has for HTTP, for a server at `address`.
+/// @brief Returns the HTTP options in `settings` for a server at `address`.
 /// @tparam Settings process_settings or job_settings
 template <typename Settings>
 [[nodiscard]] http::server_options make_http_options(const Settings& settings, const std::string& address)
--- a/include/plumspoke/settings/job_settings.hpp
+++ b/include/plumspoke/settings/job_settings.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief The settings of a daemon that serves jobs made of steps: read from JSON, checked whole.
+/// @brief Settings of a daemon that serves jobs made of steps: parsed from JSON and validated.
 
 #include "plumspoke/settings/policy_switches.hpp"
 #include "plumspoke/settings/process_settings.hpp"
@@ -10,26 +10,26 @@
 namespace plumspoke::settings
 {
 
-/// @brief Whose protocols are spoken to callers, operators and workers.
+/// @brief Protocols used with callers, operators and workers.
 enum class interface_kind : std::uint8_t
 {
-    own,      // plumspoke's own: control and entry as in process_settings
-    platform, // the users' platform, translated by the folder of that name
+    own,      // plumspoke's own protocols; see process_settings
+    platform, // the users' platform; see the platform folder
 };
 
-/// @brief All settings of a daemon of the platform's interface.
+/// @brief All settings of a daemon with the platform interface.
 struct job_settings
 {
     process_role role = process_role::entry;
     std::string name;
     std::string availability_zone;
-    std::string listen;    // callers (entry), or operators and workers (control): IP:PORT
-    std::string readiness; // entry only: where the balancer asks whether to send callers
-    std::string internal;  // between own processes: IP:PORT
-    std::string metrics;   // IP:PORT; empty: none
+    std::string listen;    // for callers (entry) or operators and workers (control): IP:PORT
+    std::string readiness; // entry only: address of the load balancer's readiness check
+    std::string internal;  // for plumspoke's own processes: IP:PORT
+    std::string metrics;   // IP:PORT; empty: disabled
     std::string data_folder;
-    std::vector<std::string> control; // internal addresses of some control VMs, to begin with
-    bool found_group = false;         // only at the first start of the whole system
+    std::vector<std::string> control; // internal addresses of some control VMs, used to join
+    bool found_group = false;         // true only at the first start of the whole system
     std::int64_t disks_lost_at_once = 0;
     vm_limits vm;
 
@@ -48,11 +48,11 @@
     policy_switches policy;
 };
 
-/// @brief Which kind a document is for.
+/// @brief The interface that a document selects.
 [[nodiscard]] interface_kind read_interface(const nlohmann::json& document);
 
-/// @brief Reads and checks a whole document.
-/// @param faults receives one entry for each fault; the settings are to be used only where it stays empty
+/// @brief Parses and validates a document.
+/// @param faults receives one entry for each fault; the settings are valid only if it stays empty
 [[nodiscard]] job_settings parse_job_settings(const nlohmann::json& document, std::vector<fault>& faults);
 
 } // namespace plumspoke::settings
--- a/include/plumspoke/settings/json_optional.hpp
+++ b/include/plumspoke/settings/json_optional.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief Lets std::optional be written to JSON as its value or null.
+/// @brief JSON serialization of std::optional as its value or null.
 
 #include <nlohmann/json.hpp>
 #include <optional>
--- a/include/plumspoke/settings/policy_switches.hpp
+++ b/include/plumspoke/settings/policy_switches.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief Mechanisms of the dispatcher's policy that can be switched off, to measure what each is worth.
+/// @brief Mechanisms of the dispatcher's policy that can be disabled to measure their effect.
 
 #include <array>
 #include <bitset>
@@ -13,20 +13,20 @@
 namespace plumspoke::settings
 {
 
-/// @brief One mechanism.
+/// @brief A policy mechanism.
 enum class mechanism : std::uint8_t
 {
-    predicted_lateness,    // the order of jobs goes by what they will still earn, not only by their age
-    short_task_room,       // whole places are kept free of lasting tasks
-    tight_short_tasks,     // short tasks go where they leave the least room
-    undisturbed_reference, // harm is told by siblings that nothing disturbs
-    starving_fillers,      // what would harm everywhere is placed after a while all the same
-    set_aside,             // nothing is placed on workers whose tasks fail
-    copies,                // a second run of a straggler, where the submitter allows it
-    straggler_moves,       // a slow or standing run is given up for one elsewhere
-    pace,                  // fillers that disturb what serves are slowed
-    serving_by_image,      // serving tasks of one image share workers
-    held_room,             // room is kept for lasting tasks that lost their worker
+    predicted_lateness,    // jobs are ordered by the value they can still earn, not only by age
+    short_task_room,       // capacity for whole short tasks is kept free of long-running tasks
+    tight_short_tasks,     // short tasks are placed by best fit
+    undisturbed_reference, // interference is measured against undisturbed sibling tasks
+    starving_fillers,      // fillers that would interfere on every worker are placed after a delay
+    set_aside,             // workers whose tasks fail are excluded from placement
+    copies,                // a straggler gets a second run if the submitter allows it
+    straggler_moves,       // a slow or stalled run is abandoned and restarted elsewhere
+    pace,                  // fillers that interfere with serving tasks are throttled
+    serving_by_image,      // serving tasks of the same image share workers
+    held_room,             // capacity is reserved for long-running tasks that lost their worker
 };
 inline constexpr std::array<std::string_view, 11> mechanism_names = {"predicted_lateness",
                                                                      "short_task_room",
@@ -40,10 +40,10 @@
                                                                      "serving_by_image",
                                                                      "held_room"};
 
-/// @brief The mechanism of this name, or nothing.
+/// @brief The mechanism with this name, or std::nullopt.
 [[nodiscard]] std::optional<mechanism> find_mechanism(std::string_view name) noexcept;
 
-/// @brief Which mechanisms are off; none by default.
+/// @brief Set of disabled mechanisms; empty by default.
 class policy_switches
 {
   public:
@@ -51,7 +51,7 @@
     {
         return !off_[static_cast<std::size_t>(which)];
     }
-    void turn_off(mechanism which) noexcept
+    void disable(mechanism which) noexcept
     {
         off_[static_cast<std::size_t>(which)] = true;
     }
--- a/include/plumspoke/settings/process_settings.hpp
+++ b/include/plumspoke/settings/process_settings.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief The settings of one process: read from JSON, checked whole before anything starts.
+/// @brief Settings of one process: parsed from JSON and validated completely before anything starts.
 
 #include "plumspoke/settings/checker.hpp"
 
@@ -12,14 +12,14 @@
 namespace plumspoke::settings
 {
 
-/// @brief What a daemon does.
+/// @brief Role of a daemon.
 enum class process_role : std::uint8_t
 {
     entry,
     control,
 };
 
-/// @brief A control VM as every process knows it.
+/// @brief Name and addresses of a control VM.
 struct control_peer
 {
     std::string name;
@@ -35,9 +35,9 @@
     process_role role = process_role::entry;
     std::string name;
     std::string availability_zone;
-    std::string http;     // where operators, workers or callers are answered
-    std::string grpc;     // where own processes are answered; control only
-    std::string platform; // the platform's list; empty: none
+    std::string http;     // address for operators, workers or callers
+    std::string grpc;     // address for plumspoke's own processes; control only
+    std::string platform; // address of the platform's VM list; empty: not polled
     std::string data_folder;
     std::vector<control_peer> control;
     bool verbose = false;
@@ -74,33 +74,33 @@
     std::int64_t max_attempts = 0;
 };
 
-/// @brief One whole-number setting: where it stands, what it means, and its bounds.
+/// @brief An integer setting: its key, unit, default value, range and meaning.
 struct integer_key
 {
     const char* section;
     const char* key;
     const char* unit;
     std::int64_t process_settings::*member;
-    std::int64_t otherwise;
+    std::int64_t default_value;
     range allowed;
     const char* meaning;
 };
 
-/// @brief All whole-number settings, in the order of docs/SETTINGS.md.
+/// @brief All integer settings in the order of docs/SETTINGS.md.
 [[nodiscard]] std::span<const integer_key> integer_keys() noexcept;
 
-/// @brief Reads and checks a whole document.
-/// @param faults receives one entry for each fault; the settings are to be used only where it stays empty
+/// @brief Parses and validates a document.
+/// @param faults receives one entry for each fault; the settings are valid only if it stays empty
 [[nodiscard]] process_settings parse_process_settings(const nlohmann::json& document,
                                                       std::vector<fault>& faults);
 
-/// @brief Reads and checks a file.
+/// @brief Parses and validates a file.
 [[nodiscard]] process_settings load_process_settings(const std::string& path, std::vector<fault>& faults);
 
-/// @brief The table of docs/SETTINGS.md, in Markdown.
+/// @brief Returns the table in docs/SETTINGS.md as Markdown.
 [[nodiscard]] std::string describe_settings();
 
-/// @brief Whether a text is an IP number and a port, such as `127.0.0.1:7101`.
+/// @brief Whether a string has the form IP:PORT, such as `127.0.0.1:7101`. Only the port is validated.
 [[nodiscard]] bool is_address(const std::string& text);
 
 } // namespace plumspoke::settings
--- a/include/plumspoke/settings/thread_budget.hpp
+++ b/include/plumspoke/settings/thread_budget.hpp
@@ -1,12 +1,13 @@
 #pragma once
 
 /// @file
-/// @brief How many connections a daemon serves at once, each with a thread, from what its VM has.
+/// @brief Derives the number of connections that a daemon serves at once, each with a thread, from the
+///        resources of its VM.
 ///
-/// Load that it answers: hundreds of daemons on small VMs, of which a few are busy at a time; and, on one of
-/// them, callers that come faster than its processor answers. More threads than the processor can feed only
-/// hold memory and thread ids: 152 daemons with 256 threads each and those of their libraries were 46,000,
-/// more than the 32,768 ids of one machine.
+/// Sized for hundreds of daemons on small VMs of which few are busy at the same time, and for callers that
+/// arrive faster than one processor can answer. More threads than the processor can use only occupy memory
+/// and thread ids: 152 daemons with 256 threads each, plus those of their libraries, had 46,000 threads,
+/// more than the 32,768 thread ids of one machine.
 
 #include "plumspoke/settings/process_settings.hpp"
 
@@ -15,7 +16,7 @@
 namespace plumspoke::settings
 {
 
-/// @brief What a VM gives to a process; 0 where it isn't told.
+/// @brief Resources of the VM available to a process; 0: unknown.
 struct vm_limits
 {
     double processors = 0;
@@ -25,15 +26,15 @@
     bool operator==(const vm_limits&) const = default;
 };
 
-/// @brief The threads for connections that a role needs at most on such a VM.
-[[nodiscard]] std::int64_t needed_http_threads(process_role role, const vm_limits& of) noexcept;
+/// @brief Number of connection threads that a role can use on such a VM.
+[[nodiscard]] std::int64_t recommended_http_threads(process_role role, const vm_limits& of) noexcept;
 
-/// @brief The most threads for connections that such a VM bears, by its memory and its descriptors.
-[[nodiscard]] std::int64_t most_http_threads(const vm_limits& of) noexcept;
+/// @brief Maximum number of connection threads that the memory and file descriptors of such a VM allow.
+[[nodiscard]] std::int64_t max_http_threads(const vm_limits& of) noexcept;
 
-/// @brief The most connections that a leader may hold to workers: the rest of the descriptors is left to
-///        peers, entries, operators and files, whatever happens to the workers' connections.
-/// @return 0 where the VM's descriptors aren't told: no limit
-[[nodiscard]] std::int64_t most_worker_connections(const vm_limits& of) noexcept;
+/// @brief Maximum number of connections from a leader to workers. The remaining file descriptors stay
+///        available for peers, entries, operators and files.
+/// @return 0 (no limit) if the number of file descriptors is unknown
+[[nodiscard]] std::int64_t max_worker_connections(const vm_limits& of) noexcept;
 
 } // namespace plumspoke::settings
--- a/src/job_server/control_server.cpp
+++ b/src/job_server/control_server.cpp
@@ -83,7 +83,7 @@
             dispatcher_.answered(now, sent, got);
             schedule_step();
         },
-        static_cast<std::size_t>(settings::most_worker_connections(settings.vm)));
+        static_cast<std::size_t>(settings::max_worker_connections(settings.vm)));
 }
 
 control_server::~control_server()
--- a/src/settings/checker.cpp
+++ b/src/settings/checker.cpp
@@ -45,7 +45,7 @@
 
 const nlohmann::json* object_reader::find(const char* key, bool required)
 {
-    asked_.insert(key);
+    requested_keys_.insert(key);
     const auto found = value_.find(key);
     if (found != value_.end())
     {
@@ -73,17 +73,17 @@
     return found->get<std::string>();
 }
 
-std::string object_reader::optional_string(const char* key, std::string_view otherwise)
+std::string object_reader::optional_string(const char* key, std::string_view default_value)
 {
     const nlohmann::json* found = find(key, false);
     if (found == nullptr)
     {
-        return std::string(otherwise);
+        return std::string(default_value);
     }
     if (!found->is_string())
     {
         add_fault(key, "must be a text");
-        return std::string(otherwise);
+        return std::string(default_value);
     }
     return found->get<std::string>();
 }
@@ -97,17 +97,17 @@
     return optional_integer(key, allowed.lowest, allowed);
 }
 
-std::int64_t object_reader::optional_integer(const char* key, std::int64_t otherwise, range allowed)
+std::int64_t object_reader::optional_integer(const char* key, std::int64_t default_value, range allowed)
 {
     const nlohmann::json* found = find(key, false);
     if (found == nullptr)
     {
-        return otherwise;
+        return default_value;
     }
     if (!found->is_number_integer())
     {
         add_fault(key, "must be a whole number");
-        return otherwise;
+        return default_value;
     }
     const bool too_large =
         found->is_number_unsigned() &&
@@ -117,52 +117,53 @@
     if (too_large || number < allowed.lowest || number > allowed.highest)
     {
         add_fault(key, range_text(allowed));
-        return otherwise;
+        return default_value;
     }
     return number;
 }
 
-double object_reader::optional_number(const char* key, double otherwise, double lowest, double highest)
+double object_reader::optional_number(const char* key, double default_value, double lowest, double highest)
 {
     const nlohmann::json* found = find(key, false);
     if (found == nullptr)
     {
-        return otherwise;
+        return default_value;
     }
     if (!found->is_number())
     {
         add_fault(key, "must be a number");
-        return otherwise;
+        return default_value;
     }
     const double number = found->get<double>();
     if (!(number >= lowest && number <= highest))
     {
         add_fault(key,
                   "must be from " + nlohmann::json(lowest).dump() + " to " + nlohmann::json(highest).dump());
-        return otherwise;
+        return default_value;
     }
     return number;
 }
 
-bool object_reader::optional_bool(const char* key, bool otherwise)
+bool object_reader::optional_bool(const char* key, bool default_value)
 {
     const nlohmann::json* found = find(key, false);
     if (found == nullptr)
     {
-        return otherwise;
+        return default_value;
     }
     if (!found->is_boolean())
     {
         add_fault(key, "must be true or false");
-        return otherwise;
+        return default_value;
     }
     return found->get<bool>();
 }
 
-std::size_t
-object_reader::optional_choice(const char* key, std::vector<std::string_view> choices, std::size_t otherwise)
+std::size_t object_reader::optional_choice(const char* key,
+                                           std::vector<std::string_view> choices,
+                                           std::size_t default_value)
 {
-    const std::string text = optional_string(key, choices.at(otherwise));
+    const std::string text = optional_string(key, choices.at(default_value));
     const auto found = std::find(choices.begin(), choices.end(), text);
     if (found != choices.end())
     {
@@ -175,7 +176,7 @@
         list += choice;
     }
     add_fault(key, "must be one of " + list);
-    return otherwise;
+    return default_value;
 }
 
 const nlohmann::json& object_reader::optional_array(const char* key)
@@ -203,7 +204,7 @@
 {
     for (const auto& [key, ignored] : value_.items())
     {
-        if (!asked_.contains(key))
+        if (!requested_keys_.contains(key))
         {
             add_fault(key, "is not a known key");
         }
--- a/src/settings/job_settings.cpp
+++ b/src/settings/job_settings.cpp
@@ -12,36 +12,41 @@
 
 constexpr std::int64_t mebibyte = 1024 * 1024;
 constexpr std::int64_t minute_ms = 60'000;
-constexpr std::int64_t highest_port = 65'535;
+constexpr std::int64_t max_port = 65'535;
 
-/// @brief One whole-number setting of job_settings.
-struct number_key
+/// @brief An integer setting of job_settings.
+struct integer_setting
 {
     const char* section;
     const char* key;
     std::int64_t job_settings::*member;
-    std::int64_t otherwise;
+    std::int64_t default_value;
     range allowed;
-    std::optional<std::int64_t> otherwise_in_control = std::nullopt;
+    std::optional<std::int64_t> control_default_value = std::nullopt;
 };
 
 constexpr std::array numbers = {
-    // Where it is left out: by what the VM has (thread_budget.hpp).
-    number_key{"limits", "http_threads", &job_settings::http_threads, 0, {4, 4096}},
-    number_key{"limits", "max_header_bytes", &job_settings::max_header_bytes, 16 * 1024, {1024, mebibyte}},
-    number_key{
+    // If omitted: derived from the VM's resources (thread_budget.hpp).
+    integer_setting{"limits", "http_threads", &job_settings::http_threads, 0, {4, 4096}},
+    integer_setting{
+        "limits", "max_header_bytes", &job_settings::max_header_bytes, 16 * 1024, {1024, mebibyte}},
+    integer_setting{
         "limits", "max_body_bytes", &job_settings::max_body_bytes, 4 * mebibyte, {1024, 64 * mebibyte}},
-    number_key{"limits", "request_read_ms", &job_settings::request_read_ms, 5000, {100, minute_ms}},
-    // Control: a worker that stays comes about each 1.1 s, one that moved on leaves its connection behind.
-    number_key{"limits", "keep_alive_ms", &job_settings::keep_alive_ms, 60'000, {0, 10 * minute_ms}, 3000},
-    // The election's times are those of process_settings, where their trials are told.
-    number_key{"timing", "election_timeout_ms", &job_settings::election_timeout_ms, 700, {50, minute_ms}},
-    number_key{"timing", "heartbeat_ms", &job_settings::heartbeat_ms, 150, {5, minute_ms}},
-    number_key{"timing", "drift_margin_ms", &job_settings::drift_margin_ms, 100, {1, minute_ms}},
-    number_key{"timing", "snapshot_interval", &job_settings::snapshot_interval, 3000, {10, 1'000'000}},
-    number_key{"timing", "worker_lease_ms", &job_settings::worker_lease_ms, 4000, {500, minute_ms}},
-    number_key{"timing", "keep_ended_ms", &job_settings::keep_ended_ms, 150'000, {1000, 100 * minute_ms}},
-    number_key{"timing", "stop_ms", &job_settings::stop_ms, 4500, {0, 10 * minute_ms}},
+    integer_setting{"limits", "request_read_ms", &job_settings::request_read_ms, 5000, {100, minute_ms}},
+    // Control: a worker that keeps using this control VM calls about every 1.1 s; one that
+    // switched to another leaves an idle connection behind.
+    integer_setting{
+        "limits", "keep_alive_ms", &job_settings::keep_alive_ms, 60'000, {0, 10 * minute_ms}, 3000},
+    // Election times; see process_settings.
+    integer_setting{
+        "timing", "election_timeout_ms", &job_settings::election_timeout_ms, 700, {50, minute_ms}},
+    integer_setting{"timing", "heartbeat_ms", &job_settings::heartbeat_ms, 150, {5, minute_ms}},
+    integer_setting{"timing", "drift_margin_ms", &job_settings::drift_margin_ms, 100, {1, minute_ms}},
+    integer_setting{"timing", "snapshot_interval", &job_settings::snapshot_interval, 3000, {10, 1'000'000}},
+    integer_setting{"timing", "worker_lease_ms", &job_settings::worker_lease_ms, 4000, {500, minute_ms}},
+    integer_setting{
+        "timing", "keep_ended_ms", &job_settings::keep_ended_ms, 150'000, {1000, 100 * minute_ms}},
+    integer_setting{"timing", "stop_ms", &job_settings::stop_ms, 4500, {0, 10 * minute_ms}},
 };
 
 void read_numbers(object_reader& root, job_settings& result, std::vector<fault>& faults)
@@ -51,21 +56,21 @@
     {
         const nlohmann::json& value = root.optional_value(section);
         object_reader reader(value.is_null() ? empty : value, root.path_of(section), faults);
-        for (const number_key& key : numbers)
+        for (const integer_setting& key : numbers)
         {
             if (std::string_view(key.section) == section)
             {
                 const bool control = result.role == process_role::control;
-                const std::int64_t otherwise =
-                    control ? key.otherwise_in_control.value_or(key.otherwise) : key.otherwise;
-                result.*key.member = reader.optional_integer(key.key, otherwise, key.allowed);
+                const std::int64_t default_value =
+                    control ? key.control_default_value.value_or(key.default_value) : key.default_value;
+                result.*key.member = reader.optional_integer(key.key, default_value, key.allowed);
             }
         }
         reader.finish();
     }
 }
 
-/// @brief The host of `IP:PORT` with another port.
+/// @brief Replaces the port of an `IP:PORT` address.
 std::string with_port(const std::string& address, std::int64_t port)
 {
     return address.substr(0, address.rfind(':')) + ":" + std::to_string(port);
@@ -89,7 +94,7 @@
             reader.add_fault("control_seeds", "must hold texts such as 10.0.0.1:7000");
             return;
         }
-        // Every process has the same internal port, so a seed's public address tells its internal one.
+        // All processes use the same internal port, so a seed's internal address follows from its public one.
         result.control.push_back(with_port(one.get<std::string>(), internal_port));
     }
     std::sort(result.control.begin(), result.control.end());
@@ -97,43 +102,43 @@
 
 void read_vm(object_reader& root, job_settings& result, std::vector<fault>& faults)
 {
-    constexpr double most_processors = 1024;
-    constexpr std::int64_t most_memory_mb = 16 * mebibyte;
-    constexpr std::int64_t most_files = 16 * mebibyte;
+    constexpr double max_processors = 1024;
+    constexpr std::int64_t max_memory_mb = 16 * mebibyte;
+    constexpr std::int64_t max_files = 16 * mebibyte;
     const nlohmann::json& value = root.optional_value("vm");
     if (value.is_null())
     {
         return;
     }
     object_reader reader(value, root.path_of("vm"), faults);
-    result.vm.processors = reader.optional_number("processors", 0, 0, most_processors);
-    result.vm.memory_mb = reader.optional_integer("memory_mb", 0, {0, most_memory_mb});
-    result.vm.open_files = reader.optional_integer("open_files", 0, {0, most_files});
+    result.vm.processors = reader.optional_number("processors", 0, 0, max_processors);
+    result.vm.memory_mb = reader.optional_integer("memory_mb", 0, {0, max_memory_mb});
+    result.vm.open_files = reader.optional_integer("open_files", 0, {0, max_files});
     reader.finish();
 }
 
-/// @brief Threads by what the VM has, where the settings don't name a number; one that it can't bear is
-/// refused.
-void find_threads(object_reader& root, job_settings& result)
+/// @brief Derives the number of threads from the VM's resources if it isn't configured, and rejects a
+///        configured number that exceeds them.
+void resolve_http_threads(object_reader& root, job_settings& result)
 {
-    constexpr std::int64_t least_threads = 4; // one to answer while others wait for silent connections
-    const std::int64_t most = most_http_threads(result.vm);
-    if (most < least_threads)
+    constexpr std::int64_t min_threads = 4; // one can answer while others wait for silent connections
+    const std::int64_t max_threads = max_http_threads(result.vm);
+    if (max_threads < min_threads)
     {
         root.add_fault("vm",
-                       "leaves room for " + std::to_string(most) + " threads; at least " +
-                           std::to_string(least_threads) + " are needed");
+                       "leaves room for " + std::to_string(max_threads) + " threads; at least " +
+                           std::to_string(min_threads) + " are needed");
         return;
     }
     if (result.http_threads == 0)
     {
-        result.http_threads = needed_http_threads(result.role, result.vm);
+        result.http_threads = recommended_http_threads(result.role, result.vm);
         return;
     }
-    if (result.http_threads > most)
+    if (result.http_threads > max_threads)
     {
         root.add_fault("limits/http_threads",
-                       "must be " + std::to_string(most) +
+                       "must be " + std::to_string(max_threads) +
                            " at the most with the memory and the descriptors under vm");
     }
 }
@@ -149,7 +154,7 @@
             root.add_fault("policy_off", "must hold names of mechanisms, as docs/POLICY.md lists them");
             return;
         }
-        result.policy.turn_off(*which);
+        result.policy.disable(*which);
     }
 }
 
@@ -194,9 +199,9 @@
     result.listen = reader.required_string("listen");
     result.readiness = reader.optional_string("readiness", "");
     const std::string ip = reader.required_string("ip");
-    const std::int64_t internal_port = reader.required_integer("internal_port", {1, highest_port});
+    const std::int64_t internal_port = reader.required_integer("internal_port", {1, max_port});
     result.internal = ip + ":" + std::to_string(internal_port);
-    const std::int64_t metrics_port = reader.optional_integer("metrics_port", 0, {0, highest_port});
+    const std::int64_t metrics_port = reader.optional_integer("metrics_port", 0, {0, max_port});
     result.metrics = metrics_port == 0 ? std::string() : ip + ":" + std::to_string(metrics_port);
     result.data_folder = reader.optional_string("data_folder", "");
     result.found_group = reader.optional_bool("found_group", false);
@@ -207,7 +212,7 @@
     read_seeds(reader, internal_port, result);
     read_numbers(reader, result, faults);
     read_vm(reader, result, faults);
-    find_threads(reader, result);
+    resolve_http_threads(reader, result);
     read_policy(reader, result);
     check_role(reader, result);
     reader.finish();
--- a/src/settings/thread_budget.cpp
+++ b/src/settings/thread_budget.cpp
@@ -9,58 +9,60 @@
 namespace
 {
 
-// Threads for each processor: calls that it can answer a second, times how long each holds its thread.
-// Assumed, not measured: an entry's call takes 2 ms of processor time (HTTP, JSON and a gRPC call) and is
-// held for 0.4 s while a leader answers: 500 calls a second and processor.
+// Threads per processor: calls answered per second times the time each call occupies its thread. Assumes that
+// a call to an entry takes 2 ms of CPU time (HTTP, JSON and a gRPC call), which is 500 calls per second, and
+// occupies its thread for 0.4 s until a leader answers.
 constexpr double entry_threads_per_processor = 200;
-// A control VM's calls are announcements of workers, assumed at 1 ms: answered at once where the leader is
-// known.
+// Calls to a control VM are announcements of workers, assumed to take 1 ms each; they are answered
+// immediately if the leader is known.
 constexpr double control_threads_per_processor = 80;
-// Fewer serve no burst: a quarter is left for connections that aren't kept (see http::server).
-constexpr std::int64_t least_threads = 16;
-constexpr std::int64_t most_threads = 256;
-constexpr std::int64_t threads_where_not_told = 64;
+// Fewer threads can't absorb bursts: a quarter is reserved for connections that aren't kept alive
+// (see http::server).
+constexpr std::int64_t min_threads = 16;
+constexpr std::int64_t max_threads = 256;
+constexpr std::int64_t default_threads = 64;
 
-// A thread of CivetWeb has a stack of 100 KB and buffers for a request of up to 16 KB and its answer.
+// A CivetWeb thread has a stack of 100 KB and buffers for a request of up to 16 KB and its response.
 constexpr std::int64_t thread_kb = 256;
-constexpr double memory_share = 0.25; // for threads; the rest for state and libraries
+constexpr double memory_share = 0.25; // for threads; the rest is for state and libraries
 constexpr std::int64_t kb_per_mb = 1024;
-constexpr double file_share = 0.125; // of the descriptors, for connections to us over HTTP
+constexpr double descriptor_share = 0.125; // of the file descriptors, for incoming HTTP connections
 
-// A leader has two connections to each worker that runs something. Three eighths stay for all others: with
-// none left a gRPC server of this version stops listening for good.
+// A leader has two connections to each worker that runs tasks. Three eighths of the file descriptors stay
+// available for all others: if none is left, a gRPC server of this version permanently stops listening.
 constexpr double worker_connection_share = 0.625;
 
 } // namespace
 
-std::int64_t needed_http_threads(process_role role, const vm_limits& of) noexcept
+std::int64_t recommended_http_threads(process_role role, const vm_limits& of) noexcept
 {
     if (of.processors <= 0)
     {
-        return std::min(threads_where_not_told, most_http_threads(of));
+        return std::min(default_threads, max_http_threads(of));
     }
     const double each =
         role == process_role::entry ? entry_threads_per_processor : control_threads_per_processor;
     const auto needed = static_cast<std::int64_t>(std::ceil(each * of.processors));
-    return std::min(std::clamp(needed, least_threads, most_threads), most_http_threads(of));
+    return std::min(std::clamp(needed, min_threads, max_threads), max_http_threads(of));
 }
 
-std::int64_t most_http_threads(const vm_limits& of) noexcept
+std::int64_t max_http_threads(const vm_limits& of) noexcept
 {
-    std::int64_t most = 4096;
+    std::int64_t limit = 4096;
     if (of.memory_mb > 0)
     {
         const double kb = memory_share * static_cast<double>(of.memory_mb * kb_per_mb);
-        most = std::min(most, static_cast<std::int64_t>(kb) / thread_kb);
+        limit = std::min(limit, static_cast<std::int64_t>(kb) / thread_kb);
     }
     if (of.open_files > 0)
     {
-        most = std::min(most, static_cast<std::int64_t>(file_share * static_cast<double>(of.open_files)));
+        limit =
+            std::min(limit, static_cast<std::int64_t>(descriptor_share * static_cast<double>(of.open_files)));
     }
-    return most;
+    return limit;
 }
 
-std::int64_t most_worker_connections(const vm_limits& of) noexcept
+std::int64_t max_worker_connections(const vm_limits& of) noexcept
 {
     return static_cast<std::int64_t>(worker_connection_share * static_cast<double>(of.open_files));
 }
--- a/tests/src/unit-settings.cpp
+++ b/tests/src/unit-settings.cpp
@@ -46,9 +46,9 @@
         CHECK(faults.empty());
         for (const integer_key& key : integer_keys())
         {
-            CHECK(settings.*key.member == key.otherwise);
-            CHECK(key.otherwise >= key.allowed.lowest);
-            CHECK(key.otherwise <= key.allowed.highest);
+            CHECK(settings.*key.member == key.default_value);
+            CHECK(key.default_value >= key.allowed.lowest);
+            CHECK(key.default_value <= key.allowed.highest);
         }
     }
     SECTION("with an unknown key name its path")
--- a/tests/src/unit-thread_budget.cpp
+++ b/tests/src/unit-thread_budget.cpp
@@ -36,26 +36,26 @@
 
 TEST_CASE("threads follow the processor of the VM and the role")
 {
-    CHECK(needed_http_threads(process_role::entry, small_entry) == 24);
-    CHECK(needed_http_threads(process_role::entry, {0.25, 260, 4100}) == 50);
-    CHECK(needed_http_threads(process_role::control, control_vm) == 48);
-    CHECK(needed_http_threads(process_role::entry, {0.01, 160, 4100}) == 16);
-    CHECK(needed_http_threads(process_role::entry, {8, 16'000, 65'536}) == 256);
+    CHECK(recommended_http_threads(process_role::entry, small_entry) == 24);
+    CHECK(recommended_http_threads(process_role::entry, {0.25, 260, 4100}) == 50);
+    CHECK(recommended_http_threads(process_role::control, control_vm) == 48);
+    CHECK(recommended_http_threads(process_role::entry, {0.01, 160, 4100}) == 16);
+    CHECK(recommended_http_threads(process_role::entry, {8, 16'000, 65'536}) == 256);
     // Where nothing is told of the VM.
-    CHECK(needed_http_threads(process_role::control, {}) == 64);
+    CHECK(recommended_http_threads(process_role::control, {}) == 64);
 }
 
 TEST_CASE("threads stay within the VM's memory and descriptors")
 {
-    CHECK(most_http_threads({2, 8, 4096}) == 8);
-    CHECK(needed_http_threads(process_role::entry, {2, 8, 4096}) == 8);
-    CHECK(most_http_threads({2, 8000, 80}) == 10);
+    CHECK(max_http_threads({2, 8, 4096}) == 8);
+    CHECK(recommended_http_threads(process_role::entry, {2, 8, 4096}) == 8);
+    CHECK(max_http_threads({2, 8000, 80}) == 10);
 }
 
 TEST_CASE("peers keep descriptors that workers' connections can't take")
 {
-    CHECK(most_worker_connections(control_vm) == 4015); // two for each of 1,800 workers are 3,600
-    CHECK(most_worker_connections({}) == 0);
+    CHECK(max_worker_connections(control_vm) == 4015); // two for each of 1,800 workers are 3,600
+    CHECK(max_worker_connections({}) == 0);
 }
 
 TEST_CASE("the settings name the VM, or the number itself")
