--- a/apps/cli/conversation.cpp
+++ b/apps/cli/conversation.cpp
@@ -28,7 +28,7 @@
 {
 
 using operators::control_answer;
-using operators::control_caller;
+using operators::control_api_client;
 
 namespace
 {
@@ -59,7 +59,7 @@
 
 } // namespace
 
-control_caller make_caller()
+control_api_client make_caller()
 {
     return {absl::StrSplit(absl::GetFlag(FLAGS_control), ','), milliseconds(absl::GetFlag(FLAGS_limit_ms))};
 }
--- a/apps/cli/conversation.hpp
+++ b/apps/cli/conversation.hpp
@@ -27,7 +27,7 @@
 constexpr int exit_not_reached = 3;
 
 /// @brief A caller of the control VMs that the flags name.
-[[nodiscard]] operators::control_caller make_caller();
+[[nodiscard]] operators::control_api_client make_caller();
 
 /// @brief The identity that --request gives, or a new one.
 [[nodiscard]] std::string request_identity();
--- a/apps/cli/job_commands.cpp
+++ b/apps/cli/job_commands.cpp
@@ -12,7 +12,7 @@
 {
 
 using operators::control_answer;
-using operators::control_caller;
+using operators::control_api_client;
 
 namespace
 {
@@ -34,7 +34,7 @@
 
 int job_cancel(arguments ids)
 {
-    control_caller caller = make_caller();
+    control_api_client caller = make_caller();
     int code = exit_done;
     for (const char* id : ids)
     {
--- a/apps/cli/plan_commands.cpp
+++ b/apps/cli/plan_commands.cpp
@@ -16,7 +16,7 @@
 {
 
 using operators::control_answer;
-using operators::control_caller;
+using operators::control_api_client;
 
 namespace
 {
@@ -30,7 +30,7 @@
     {
         return exit_usage;
     }
-    control_caller caller = make_caller();
+    control_api_client caller = make_caller();
     std::int64_t based_on = absl::GetFlag(FLAGS_based_on);
     if (based_on < 0)
     {
@@ -55,7 +55,7 @@
     return refused ? exit_refused : code;
 }
 
-int wait_in_force(control_caller& caller, std::uint64_t version)
+int wait_in_force(control_api_client& caller, std::uint64_t version)
 {
     const bool on_terminal = ::isatty(STDERR_FILENO) != 0;
     const auto end =
@@ -120,7 +120,7 @@
         std::cerr << "plumspoke: plan list, plan show ID, plan confirm ID, or plan discard ID\n";
         return exit_usage;
     }
-    control_caller caller = make_caller();
+    control_api_client caller = make_caller();
     const std::string path = "/v1/plans/" + std::string(words[1]);
     if (verb == "show")
     {
--- a/bench/request_path.cpp
+++ b/bench/request_path.cpp
@@ -283,7 +283,7 @@
                                           {"answer_within_ms", answer_within_ms},
                                           {"safe_to_repeat", true},
                                           {"endpoints", list}}}}};
-        operators::control_caller caller({control_address_}, milliseconds(15000));
+        operators::control_api_client caller({control_address_}, milliseconds(15000));
         const operators::control_answer present = caller.get("/v1/configuration");
         const operators::control_answer plan = caller.post("/v1/plans",
                                                            {{"request", std::to_string(++requests_)},
--- a/include/plumspoke/operator/client.hpp
+++ b/include/plumspoke/operator/client.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief The command line's calls to control: finds the leader, repeats what may be repeated.
+/// @brief Client of the control API for command-line tools: finds the leader and retries requests.
 
 #include "plumspoke/http/client.hpp"
 
@@ -11,10 +11,10 @@
 namespace plumspoke::operators
 {
 
-/// @brief What control answered.
+/// @brief Response of a control VM.
 struct control_answer
 {
-    int status = 0; // 0: nobody answered
+    int status = 0; // 0: no response
     nlohmann::json body;
 
     [[nodiscard]] bool reached() const noexcept
@@ -27,17 +27,17 @@
     }
 };
 
-/// @brief Calls control VMs in turn until the leader answers or the time is over.
-class control_caller
+/// @brief Calls control VMs in turn until the leader answers or the time limit is reached.
+class control_api_client
 {
   public:
-    /// @param addresses IP:PORT of the control VMs' HTTP
-    /// @param limit for one call, leader changes included
-    control_caller(std::vector<std::string> addresses, milliseconds limit);
+    /// @param addresses HTTP addresses (IP:PORT) of the control VMs
+    /// @param limit timeout of one call, including retries after leader changes
+    control_api_client(std::vector<std::string> addresses, milliseconds limit);
 
     [[nodiscard]] control_answer get(const std::string& path);
 
-    /// @note Repeated while the leader changes: each body carries its request's identity.
+    /// @note Retried during leader changes; each body carries a request id, so that retries are idempotent.
     [[nodiscard]] control_answer post(const std::string& path, const nlohmann::json& body);
 
   private:
--- a/include/plumspoke/operator/error.hpp
+++ b/include/plumspoke/operator/error.hpp
@@ -8,7 +8,7 @@
 namespace plumspoke::operators
 {
 
-/// @brief What an operator's request may be refused for before it reaches the control state.
+/// @brief Reasons for rejecting an operator's request before it reaches the control state.
 enum class errc : std::uint16_t
 {
     bad_document = 400,
--- a/include/plumspoke/operator/error_list.hpp
+++ b/include/plumspoke/operator/error_list.hpp
@@ -1,14 +1,14 @@
 #pragma once
 
 /// @file
-/// @brief All numbered errors of all layers, for operators.
+/// @brief List of the numbered errors of all layers.
 
 #include <string>
 
 namespace plumspoke::operators
 {
 
-/// @brief The table of docs/ERRORS.md, in Markdown.
+/// @brief Returns the table in docs/ERRORS.md as Markdown.
 [[nodiscard]] std::string describe_errors();
 
 } // namespace plumspoke::operators
--- a/include/plumspoke/operator/intent.hpp
+++ b/include/plumspoke/operator/intent.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief Reads operators' documents: intents and jobs. docs/OPERATORS.md describes them.
+/// @brief Parses operators' documents (intents and jobs), specified in docs/OPERATORS.md.
 
 #include "plumspoke/control/model.hpp"
 #include "plumspoke/settings/checker.hpp"
@@ -9,12 +9,12 @@
 namespace plumspoke::operators
 {
 
-/// @brief Reads a whole intent document; every fault is reported with its path.
+/// @brief Parses an intent document; every fault is reported with its path.
 [[nodiscard]] control::intent_document parse_intent(const nlohmann::json& document,
                                                     std::vector<settings::fault>& faults);
 
-/// @brief Reads one job.
-/// @param path where it stands in the document
+/// @brief Parses one job.
+/// @param path its path in the document
 [[nodiscard]] control::job_spec
 parse_job(const nlohmann::json& value, const std::string& path, std::vector<settings::fault>& faults);
 
--- a/include/plumspoke/protocol/protocol.hpp
+++ b/include/plumspoke/protocol/protocol.hpp
@@ -1,8 +1,8 @@
 #pragma once
 
 /// @file
-/// @brief What the shells need of whoever translates between plumspoke and the protocols of its
-///        surroundings. An implementation only translates: it decides nothing and keeps no state.
+/// @brief Interfaces for translating between plumspoke and external protocols. Implementations are stateless
+///        and make no scheduling decisions.
 
 #include "plumspoke/dispatch/orders.hpp"
 #include "plumspoke/fleet/announcement.hpp"
@@ -16,39 +16,39 @@
 
 // ---- callers -----------------------------------------------------------------------------------
 
-/// @brief Hands a job in.
+/// @brief Submits a job.
 struct submit_call
 {
     jobs::job_spec spec;
 };
 
-/// @brief Asks for a job's state, or a queue's count: the path tells which.
+/// @brief Reads the state of a job or the job count of a queue, depending on the path.
 struct read_call
 {
 };
 
-/// @brief Cancels the job that the path names.
+/// @brief Cancels the job named by the path.
 struct cancel_call
 {
 };
 
-/// @brief What can't be read; the answer says why.
+/// @brief An invalid request, with the status and message of the response.
 struct bad_call
 {
     int status = 400;
     std::string message;
 };
 
-/// @brief A caller's request. Which queue and job it means is for whoever holds the configuration.
+/// @brief A caller's request. Queue and job are resolved later from host and path, using the configuration.
 struct caller_request
 {
     std::string host;
     std::string path;
-    std::int64_t time_left_ms = 0; // until the caller gives up; 0: not told
+    std::int64_t time_left_ms = 0; // until the caller's deadline; 0: unknown
     std::variant<submit_call, read_call, cancel_call, bad_call> call;
 };
 
-/// @brief What a caller is told.
+/// @brief The answer to a caller.
 struct caller_answer
 {
     jobs::outcome result = jobs::outcome::accepted;
@@ -57,7 +57,7 @@
     std::int64_t return_after_ms = 0;
 };
 
-/// @brief Translates for callers.
+/// @brief Translates the requests of callers and the answers to them.
 class caller_protocol
 {
   public:
@@ -69,24 +69,24 @@
 
 // ---- operators and workers that call control ---------------------------------------------------
 
-/// @brief Sets a whole configuration.
+/// @brief Replaces the configuration.
 struct configure_call
 {
     jobs::configuration value;
 };
 
-/// @brief Asks for the newest configuration.
+/// @brief Reads the newest configuration.
 struct read_configuration_call
 {
 };
 
-/// @brief A worker says what it is and that it lives.
+/// @brief A worker's announcement, which is also its heartbeat.
 struct announce_call
 {
     fleet::announcement worker;
 };
 
-/// @brief A worker's life ends.
+/// @brief A worker announces its end.
 struct goodbye_call
 {
     std::string worker;
@@ -95,7 +95,7 @@
 using control_call =
     std::variant<configure_call, read_configuration_call, announce_call, goodbye_call, bad_call>;
 
-/// @brief Translates for operators and workers that call control.
+/// @brief Translates the requests of operators and workers to control.
 class control_protocol
 {
   public:
@@ -105,7 +105,7 @@
 
 // ---- control that calls workers ----------------------------------------------------------------
 
-/// @brief Translates orders to workers and their answers.
+/// @brief Translates orders to workers, and their answers.
 class worker_protocol
 {
   public:
--- a/include/plumspoke/time/time.hpp
+++ b/include/plumspoke/time/time.hpp
@@ -1,29 +1,29 @@
 #pragma once
 
 /// @file
-/// @brief Points and spans of time as the decisions see them: values that are handed in, never read there.
+/// @brief Time types. Decision code receives the current time as an argument and never reads a clock.
 
 #include <chrono>
 
 namespace plumspoke
 {
 
-/// @brief A point on one process's monotonic clock. Never sent to another process as a point.
+/// @brief A time on the monotonic clock of one process; must not be sent to other processes.
 using time_point = std::chrono::steady_clock::time_point;
 
-/// @brief A span of time; microseconds carry a request's path.
+/// @brief A duration with the microsecond resolution that the request path needs.
 using duration = std::chrono::microseconds;
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// @brief Microseconds since the clock's own start.
+/// @brief Microseconds since the epoch of the monotonic clock.
 [[nodiscard]] inline std::int64_t to_microseconds(time_point at) noexcept
 {
     return std::chrono::duration_cast<duration>(at.time_since_epoch()).count();
 }
 
-/// @brief The reverse of to_microseconds.
+/// @brief The inverse of to_microseconds.
 [[nodiscard]] inline time_point from_microseconds(std::int64_t at) noexcept
 {
     return time_point(duration(at));
--- a/include/plumspoke/time/time_of_day.hpp
+++ b/include/plumspoke/time/time_of_day.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief The agreed time of day, for what outlives a process: log lines, acceptances and due times.
+/// @brief Wall-clock time, for values that outlive a process: log lines, acceptance times and due times.
 
 #include <chrono>
 #include <cstdint>
@@ -9,7 +9,7 @@
 namespace plumspoke
 {
 
-/// @brief Milliseconds since 1970 by the system's clock, which may be set back: never used for leases.
+/// @brief Milliseconds since 1970 on the system clock. It may be set back, so it must not be used for leases.
 [[nodiscard]] inline std::int64_t time_of_day_ms()
 {
     return std::chrono::duration_cast<std::chrono::milliseconds>(
--- a/src/operator/client.cpp
+++ b/src/operator/client.cpp
@@ -11,16 +11,16 @@
 
 constexpr int not_leader_status = 421;
 constexpr int no_answer_status = 504;
-constexpr auto pause = milliseconds(100);
+constexpr auto retry_interval = milliseconds(100);
 
 } // namespace
 
-control_caller::control_caller(std::vector<std::string> addresses, milliseconds limit)
+control_api_client::control_api_client(std::vector<std::string> addresses, milliseconds limit)
     : addresses_(std::move(addresses)), limit_(limit)
 {
 }
 
-control_answer control_caller::get(const std::string& path)
+control_answer control_api_client::get(const std::string& path)
 {
     http::request sent;
     sent.method = "GET";
@@ -28,7 +28,7 @@
     return call(sent);
 }
 
-control_answer control_caller::post(const std::string& path, const nlohmann::json& body)
+control_answer control_api_client::post(const std::string& path, const nlohmann::json& body)
 {
     http::request sent;
     sent.method = "POST";
@@ -38,16 +38,17 @@
     return call(sent);
 }
 
-control_answer control_caller::call(const http::request& sent)
+control_answer control_api_client::call(const http::request& sent)
 {
     const time_point end = std::chrono::steady_clock::now() + limit_;
     control_answer last;
-    std::size_t position = 0;
-    std::string hint;
+    std::size_t next_address = 0;
+    std::string leader_address;
     while (!addresses_.empty() && std::chrono::steady_clock::now() < end)
     {
-        const std::string address = hint.empty() ? addresses_[position++ % addresses_.size()] : hint;
-        hint.clear();
+        const std::string address =
+            leader_address.empty() ? addresses_[next_address++ % addresses_.size()] : leader_address;
+        leader_address.clear();
         const std::optional<http::response> answer = http::call(address, sent, limit_);
         if (answer.has_value())
         {
@@ -59,13 +60,13 @@
             }
             if (last.body.is_object() && last.body.contains("detail") && last.body["detail"].is_object())
             {
-                hint = last.body["detail"].value("http", "");
-                hint = hint == address ? "" : hint;
+                leader_address = last.body["detail"].value("http", "");
+                leader_address = leader_address == address ? "" : leader_address;
             }
         }
-        if (hint.empty())
+        if (leader_address.empty())
         {
-            std::this_thread::sleep_for(pause);
+            std::this_thread::sleep_for(retry_interval);
         }
     }
     return last;
--- a/src/operator/intent.cpp
+++ b/src/operator/intent.cpp
@@ -12,24 +12,24 @@
 using settings::fault;
 using settings::object_reader;
 
-constexpr double most_cores = 10'000;
-constexpr std::int64_t most_memory_mb = 100'000'000;
-constexpr std::int64_t most_accelerators = 1024;
-constexpr std::int64_t most_fleet = 100'000; // a quota may cover many workers
-constexpr std::size_t longest_name = 128;
-constexpr std::size_t longest_payload = 64 * 1024;
-
-bool valid_name(const std::string& name)
+constexpr double max_cores = 10'000;
+constexpr std::int64_t max_memory_mb = 100'000'000;
+constexpr std::int64_t max_accelerators = 1024;
+constexpr std::int64_t max_fleet_factor = 100'000; // a quota may span many workers
+constexpr std::size_t max_name_length = 128;
+constexpr std::size_t max_payload_bytes = 64 * 1024;
+
+bool is_valid_name(const std::string& name)
 {
     constexpr std::string_view allowed = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_.";
-    return !name.empty() && name.size() <= longest_name &&
+    return !name.empty() && name.size() <= max_name_length &&
            name.find_first_not_of(allowed) == std::string::npos;
 }
 
 std::string read_name(object_reader& reader, const char* key)
 {
     std::string name = reader.required_string(key);
-    if (!name.empty() && !valid_name(name))
+    if (!name.empty() && !is_valid_name(name))
     {
         reader.add_fault(key, "may hold letters, digits, '-', '_' and '.', 128 at the most");
     }
@@ -48,9 +48,9 @@
     constexpr double thousandths = 1000;
     object_reader reader(value, owner.path_of(key), faults);
     result.millicores = std::llround(
-        reader.optional_number("cores", 0, 0, most_cores * static_cast<double>(scale)) * thousandths);
-    result.memory_mb = reader.optional_integer("memory_mb", 0, {0, most_memory_mb * scale});
-    result.accelerators = reader.optional_integer("accelerators", 0, {0, most_accelerators * scale});
+        reader.optional_number("cores", 0, 0, max_cores * static_cast<double>(scale)) * thousandths);
+    result.memory_mb = reader.optional_integer("memory_mb", 0, {0, max_memory_mb * scale});
+    result.accelerators = reader.optional_integer("accelerators", 0, {0, max_accelerators * scale});
     reader.finish();
     return result;
 }
@@ -60,7 +60,7 @@
     object_reader reader(value, path, faults);
     control::team result;
     result.name = read_name(reader, "name");
-    result.quota = read_resources(reader, "quota", most_fleet, faults);
+    result.quota = read_resources(reader, "quota", max_fleet_factor, faults);
     reader.finish();
     return result;
 }
@@ -131,7 +131,7 @@
     return result;
 }
 
-/// Reads each element of a list, and reports names that stand twice.
+/// Parses each element of a list and reports duplicate names.
 template <typename Parse, typename NameOf>
 auto parse_list(
     object_reader& reader, const char* key, std::vector<fault>& faults, Parse parse, NameOf name_of)
@@ -173,7 +173,7 @@
     }
     result.max_attempts = reader.optional_integer("max_attempts", 3, {1, 100});
     result.payload = reader.optional_string("payload", "");
-    if (result.payload.size() > longest_payload)
+    if (result.payload.size() > max_payload_bytes)
     {
         reader.add_fault("payload", "may have 65536 bytes at the most");
     }
--- a/tests/src/unit-whole_path.cpp
+++ b/tests/src/unit-whole_path.cpp
@@ -125,7 +125,7 @@
                                           {"safe_to_repeat", safe},
                                           {"endpoints", list}});
         }
-        operators::control_caller caller({control_http}, milliseconds(10000));
+        operators::control_api_client caller({control_http}, milliseconds(10000));
         operators::control_answer present;
         REQUIRE(wait_until(
             [&]
@@ -381,7 +381,7 @@
 TEST_CASE("control's interface")
 {
     fixture f;
-    operators::control_caller caller({f.control_http}, milliseconds(5000));
+    operators::control_api_client caller({f.control_http}, milliseconds(5000));
 
     SECTION("lists each fault of a document with its path, and changes nothing")
     {
