--- a/src/operator/intent.cpp
+++ b/src/operator/intent.cpp
@@ -74,9 +74,9 @@
     }
     const std::string port = address.substr(colon + 1);
     constexpr std::size_t longest_port = 5;
-    constexpr int highest_port = 65535;
+    constexpr int max_port = 65535;
     return port.find_first_not_of("0123456789") == std::string::npos && port.size() <= longest_port &&
-           std::stoi(port) > 0 && std::stoi(port) <= highest_port;
+           std::stoi(port) > 0 && std::stoi(port) <= max_port;
 }
 
 control::endpoint_config
