--- a/include/plumspoke/fleet/announcement.hpp
+++ b/include/plumspoke/fleet/announcement.hpp
@@ -20,8 +20,8 @@
     ready = 0,
     draining = 1,
     gone = 2, // it announced its end
-    leave_unconfirmed =
-        3, // a goodbye with its id arrived while it wasn't draining; may be from an earlier life
+    /// A goodbye with its id arrived while it wasn't draining; may be from an earlier life.
+    leave_unconfirmed = 3,
 };
 
 /// @brief Self-description of one life of a worker.
@@ -55,7 +55,7 @@
   public:
     /// @brief Stores an announcement.
     /// @return false if a newer announcement of the same life was already received
-    bool receive(time_point now, const announcement& heard);
+    bool receive(time_point now, const announcement& received);
 
     /// @brief Handles a goodbye, which names a worker id but no life. It ends the leaving lives of
     ///        the id or, if none is leaving, marks all of them as unconfirmed.
@@ -96,9 +96,9 @@
     struct record
     {
         announcement last;
-        time_point heard_at{};
+        time_point received_at{};
         std::uint64_t relayed_term = 0; // 0: the newest content has not been relayed
-        bool heard_since_relay = true;
+        bool received_since_relay = true;
     };
     std::map<worker_life, record> records_;
 };
--- a/include/plumspoke/settings/thread_budget.hpp
+++ b/include/plumspoke/settings/thread_budget.hpp
@@ -27,14 +27,14 @@
 };
 
 /// @brief Number of connection threads that a role can use on such a VM.
-[[nodiscard]] std::int64_t recommended_http_threads(process_role role, const vm_limits& of) noexcept;
+[[nodiscard]] std::int64_t recommended_http_threads(process_role role, const vm_limits& limits) noexcept;
 
 /// @brief Maximum number of connection threads that the memory and file descriptors of such a VM allow.
-[[nodiscard]] std::int64_t max_http_threads(const vm_limits& of) noexcept;
+[[nodiscard]] std::int64_t max_http_threads(const vm_limits& limits) noexcept;
 
 /// @brief Maximum number of connections from a leader to workers. The remaining file descriptors stay
 ///        available for peers, entries, operators and files.
 /// @return 0 (no limit) if the number of file descriptors is unknown
-[[nodiscard]] std::int64_t max_worker_connections(const vm_limits& of) noexcept;
+[[nodiscard]] std::int64_t max_worker_connections(const vm_limits& limits) noexcept;
 
 } // namespace plumspoke::settings
--- a/include/plumspoke/worker/lease_manager.hpp
+++ b/include/plumspoke/worker/lease_manager.hpp
@@ -39,7 +39,7 @@
     std::uint64_t sequence = 0;
     std::string incarnation;
     time_point answered_at{};
-    bool heard = false;
+    bool has_reported = false;
     std::vector<task_report> tasks;
     std::vector<service_report> services;
     std::uint64_t reports = 0;
--- a/src/fleet/announcement.cpp
+++ b/src/fleet/announcement.cpp
@@ -12,20 +12,20 @@
            time_left_ms == other.time_left_ms && vm == other.vm;
 }
 
-bool worker_registry::receive(time_point now, const announcement& heard)
+bool worker_registry::receive(time_point now, const announcement& received)
 {
-    record& entry = records_[heard.life];
-    if (heard.sequence < entry.last.sequence)
+    record& entry = records_[received.life];
+    if (received.sequence < entry.last.sequence)
     {
         return false;
     }
-    if (!entry.last.has_same_content(heard))
+    if (!entry.last.has_same_content(received))
     {
         entry.relayed_term = 0;
     }
-    entry.last = heard;
-    entry.heard_at = now;
-    entry.heard_since_relay = true;
+    entry.last = received;
+    entry.received_at = now;
+    entry.received_since_relay = true;
     return true;
 }
 
@@ -88,7 +88,7 @@
     std::vector<worker_life> out;
     for (const auto& [life, entry] : records_)
     {
-        if (entry.relayed_term == leader_term && entry.heard_since_relay)
+        if (entry.relayed_term == leader_term && entry.received_since_relay)
         {
             out.push_back(life);
         }
@@ -108,7 +108,7 @@
     }
     for (auto& [life, entry] : records_)
     {
-        entry.heard_since_relay = entry.heard_since_relay && entry.relayed_term != leader_term;
+        entry.received_since_relay = entry.received_since_relay && entry.relayed_term != leader_term;
     }
 }
 
@@ -135,7 +135,7 @@
     std::erase_if(records_,
                   [&](const auto& entry)
                   {
-                      return entry.second.heard_at + silence < now;
+                      return entry.second.received_at + silence < now;
                   });
 }
 
--- a/src/settings/thread_budget.cpp
+++ b/src/settings/thread_budget.cpp
@@ -34,37 +34,37 @@
 
 } // namespace
 
-std::int64_t recommended_http_threads(process_role role, const vm_limits& of) noexcept
+std::int64_t recommended_http_threads(process_role role, const vm_limits& limits) noexcept
 {
-    if (of.processors <= 0)
+    if (limits.processors <= 0)
     {
-        return std::min(default_threads, max_http_threads(of));
+        return std::min(default_threads, max_http_threads(limits));
     }
     const double each =
         role == process_role::entry ? entry_threads_per_processor : control_threads_per_processor;
-    const auto needed = static_cast<std::int64_t>(std::ceil(each * of.processors));
-    return std::min(std::clamp(needed, min_threads, max_threads), max_http_threads(of));
+    const auto needed = static_cast<std::int64_t>(std::ceil(each * limits.processors));
+    return std::min(std::clamp(needed, min_threads, max_threads), max_http_threads(limits));
 }
 
-std::int64_t max_http_threads(const vm_limits& of) noexcept
+std::int64_t max_http_threads(const vm_limits& limits) noexcept
 {
     std::int64_t limit = 4096;
-    if (of.memory_mb > 0)
+    if (limits.memory_mb > 0)
     {
-        const double kb = memory_share * static_cast<double>(of.memory_mb * kb_per_mb);
+        const double kb = memory_share * static_cast<double>(limits.memory_mb * kb_per_mb);
         limit = std::min(limit, static_cast<std::int64_t>(kb) / thread_kb);
     }
-    if (of.open_files > 0)
+    if (limits.open_files > 0)
     {
-        limit =
-            std::min(limit, static_cast<std::int64_t>(descriptor_share * static_cast<double>(of.open_files)));
+        limit = std::min(
+            limit, static_cast<std::int64_t>(descriptor_share * static_cast<double>(limits.open_files)));
     }
     return limit;
 }
 
-std::int64_t max_worker_connections(const vm_limits& of) noexcept
+std::int64_t max_worker_connections(const vm_limits& limits) noexcept
 {
-    return static_cast<std::int64_t>(worker_connection_share * static_cast<double>(of.open_files));
+    return static_cast<std::int64_t>(worker_connection_share * static_cast<double>(limits.open_files));
 }
 
 } // namespace plumspoke::settings
--- a/src/worker/lease_manager.cpp
+++ b/src/worker/lease_manager.cpp
@@ -87,22 +87,22 @@
                                       std::error_code& error)
 {
     report_outcome output;
-    worker_status& view = workers_[received.worker];
-    const bool is_repeated =
-        view.heard && view.incarnation == received.incarnation && received.sequence <= view.sequence;
+    worker_status& status = workers_[received.worker];
+    const bool is_repeated = status.has_reported && status.incarnation == received.incarnation &&
+                             received.sequence <= status.sequence;
     if (is_repeated || is_replaced(state, received))
     {
         error = errc::old_sequence;
         return output;
     }
-    const time_point last_heard = view.answered_at;
-    view.heard = true;
-    view.incarnation = received.incarnation;
-    view.sequence = received.sequence;
-    view.answered_at = now;
-    view.tasks = received.tasks;
-    view.services = received.services;
-    ++view.reports;
+    const time_point last_heard = status.answered_at;
+    status.has_reported = true;
+    status.incarnation = received.incarnation;
+    status.sequence = received.sequence;
+    status.answered_at = now;
+    status.tasks = received.tasks;
+    status.services = received.services;
+    ++status.reports;
 
     output.reply.sequence = received.sequence;
     output.reply.lease_ms = std::chrono::duration_cast<milliseconds>(options_.lease).count();
