--- a/src/job_server/control_http.cpp
+++ b/src/job_server/control_http.cpp
@@ -166,7 +166,7 @@
     std::vector<fleet::announcement> changed;
     {
         const std::lock_guard lock(registry_mutex_);
-        changed = registry_.say_goodbye(now, call.worker);
+        changed = registry_.handle_goodbye(now, call.worker);
     }
     if (!changed.empty() && acting())
     {
@@ -257,8 +257,8 @@
         unknown.push_back({reply.unknown(i), has_born_ms ? reply.unknown_born_ms(i) : 0});
     }
     const std::lock_guard lock(registry_mutex_);
-    registry_.note_relayed(leader_term, changed);
-    registry_.note_unknown(unknown);
+    registry_.mark_relayed(leader_term, changed);
+    registry_.mark_unknown(unknown);
     relay_done_.notify_all();
 }
 
@@ -275,7 +275,7 @@
     boost::asio::post(context_,
                       [this, now, changed]
                       {
-                          const metrics::measured_part measured(metrics::loop_part::announcements);
+                          const metrics::scoped_loop_part measured(metrics::loop_part::announcements);
                           for (const fleet::announcement& one : changed)
                           {
                               dispatcher_.announced(now, one);
@@ -306,7 +306,7 @@
     boost::asio::post(context_,
                       [this, now, known = std::move(known)]
                       {
-                          const metrics::measured_part measured(metrics::loop_part::announcements);
+                          const metrics::scoped_loop_part measured(metrics::loop_part::announcements);
                           for (const fleet::announcement& one : known)
                           {
                               if (!dispatcher_.refresh_liveness(now, one.life))
