--- a/src/replica/grpc_transport.cpp
+++ b/src/replica/grpc_transport.cpp
@@ -406,8 +406,7 @@
             std::optional<message> received = from_wire(item);
             if (!received.has_value())
             {
-                return {grpc::StatusCode::INVALID_ARGUMENT,
-                        "a message has no body, or one that this version does not support"};
+                return {grpc::StatusCode::INVALID_ARGUMENT, "a message has no body that this version knows"};
             }
             target_.receive(std::move(*received), request->from_address());
         }
