--- a/apps/cli/commands.hpp
+++ b/apps/cli/commands.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief The commands; each takes the words behind its name and gives the exit code.
+/// @brief The commands of the CLI. Each takes the arguments after its name and returns the exit code.
 
 #include <span>
 
--- a/apps/cli/conversation.cpp
+++ b/apps/cli/conversation.cpp
@@ -59,7 +59,7 @@
 
 } // namespace
 
-control_api_client make_caller()
+control_api_client make_client()
 {
     return {absl::StrSplit(absl::GetFlag(FLAGS_control), ','), milliseconds(absl::GetFlag(FLAGS_limit_ms))};
 }
@@ -88,7 +88,7 @@
     return login == nullptr ? "operator" : login;
 }
 
-int conclude(const control_answer& answer, const std::function<void(const nlohmann::json&)>& show)
+int print_answer(const control_answer& answer, const std::function<void(const nlohmann::json&)>& show)
 {
     if (absl::GetFlag(FLAGS_json) && answer.reached())
     {
--- a/apps/cli/conversation.hpp
+++ b/apps/cli/conversation.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief How the command line talks: its flags, its calls to control, its exit codes.
+/// @brief Shared parts of the CLI commands: flags, calls to the control VMs and exit codes.
 
 #include "plumspoke/operator/client.hpp"
 
@@ -26,21 +26,22 @@
 constexpr int exit_usage = 2;
 constexpr int exit_not_reached = 3;
 
-/// @brief A caller of the control VMs that the flags name.
-[[nodiscard]] operators::control_api_client make_caller();
+/// @brief Creates a client for the control VMs given by --control, with the timeout given by --limit_ms.
+[[nodiscard]] operators::control_api_client make_client();
 
-/// @brief The identity that --request gives, or a new one.
+/// @brief Returns the idempotency key given by --request, or a new random one.
 [[nodiscard]] std::string request_identity();
 
-/// @brief Who asks: --operator, or the login name.
+/// @brief Returns the value of --operator, or the login name if it is empty.
 [[nodiscard]] std::string operator_name();
 
-/// @brief Prints an answer with `show`, or as JSON; what was refused goes to the error stream.
-/// @return the exit code
-[[nodiscard]] int conclude(const operators::control_answer& answer,
-                           const std::function<void(const nlohmann::json&)>& show);
+/// @brief Prints an answer with `show`, or as JSON if --json is set. Errors go to standard error.
+/// @return the exit code for the answer
+[[nodiscard]] int print_answer(const operators::control_answer& answer,
+                               const std::function<void(const nlohmann::json&)>& show);
 
-/// @brief A file's JSON; nothing, and a line on the error stream, where it can't be read.
+/// @brief Reads and parses a JSON file.
+/// @return the document, or `std::nullopt` after printing an error if it can't be read or parsed
 [[nodiscard]] std::optional<nlohmann::json> read_document(const std::string& path);
 
 } // namespace plumspoke::cli
--- a/apps/cli/job_commands.cpp
+++ b/apps/cli/job_commands.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Jobs, and the workers they run on.
+/// @brief Commands for jobs and workers.
 
 #include "commands.hpp"
 #include "conversation.hpp"
@@ -24,28 +24,29 @@
     {
         return exit_usage;
     }
-    return conclude(make_caller().post("/v1/jobs", *document),
-                    [](const nlohmann::json& body)
-                    {
-                        std::cout << "Job " << body.at("detail").value("job", "")
-                                  << " is accepted: " << body.at("detail").value("phase", "") << "\n";
-                    });
+    return print_answer(make_client().post("/v1/jobs", *document),
+                        [](const nlohmann::json& body)
+                        {
+                            std::cout << "Job " << body.at("detail").value("job", "")
+                                      << " is accepted: " << body.at("detail").value("phase", "") << "\n";
+                        });
 }
 
 int job_cancel(arguments ids)
 {
-    control_api_client caller = make_caller();
+    control_api_client client = make_client();
     int code = exit_done;
     for (const char* id : ids)
     {
         const control_answer answer =
-            caller.post("/v1/jobs/" + std::string(id) + "/cancel", nlohmann::json::object());
-        const int one = conclude(answer,
-                                 [id](const nlohmann::json& body)
-                                 {
-                                     std::cout << "Job " << id << ": " << body.at("detail").value("phase", "")
-                                               << ", " << body.at("detail").value("reason", "") << "\n";
-                                 });
+            client.post("/v1/jobs/" + std::string(id) + "/cancel", nlohmann::json::object());
+        const int one = print_answer(answer,
+                                     [id](const nlohmann::json& body)
+                                     {
+                                         std::cout << "Job " << id << ": "
+                                                   << body.at("detail").value("phase", "") << ", "
+                                                   << body.at("detail").value("reason", "") << "\n";
+                                     });
         code = std::max(code, one);
     }
     return code;
@@ -58,11 +59,11 @@
     const std::string verb = words.empty() ? "" : words[0];
     if (verb == "list" && words.size() == 1)
     {
-        return conclude(make_caller().get("/v1/jobs"),
-                        [](const nlohmann::json& body)
-                        {
-                            print_rows(body, {"job", "team", "phase", "worker", "reason"});
-                        });
+        return print_answer(make_client().get("/v1/jobs"),
+                            [](const nlohmann::json& body)
+                            {
+                                print_rows(body, {"job", "team", "phase", "worker", "reason"});
+                            });
     }
     if (verb == "submit" && words.size() == 2)
     {
@@ -70,7 +71,7 @@
     }
     if (verb == "status" && words.size() == 2)
     {
-        return conclude(make_caller().get("/v1/jobs/" + std::string(words[1])), &print_job);
+        return print_answer(make_client().get("/v1/jobs/" + std::string(words[1])), &print_job);
     }
     if (verb == "cancel" && words.size() >= 2)
     {
@@ -88,8 +89,8 @@
         std::cerr << "plumspoke: worker take_back NAME, or worker set_aside NAME\n";
         return exit_usage;
     }
-    return conclude(
-        make_caller().post("/v1/workers/" + std::string(words[1]) + "/" + verb, nlohmann::json::object()),
+    return print_answer(
+        make_client().post("/v1/workers/" + std::string(words[1]) + "/" + verb, nlohmann::json::object()),
         [](const nlohmann::json&)
         {
             std::cout << "Done.\n";
--- a/apps/cli/plan_commands.cpp
+++ b/apps/cli/plan_commands.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief What operators want: intents and the plans that come of them.
+/// @brief Commands for intents (desired configurations) and the plans computed from them.
 
 #include "commands.hpp"
 #include "conversation.hpp"
@@ -21,7 +21,7 @@
 namespace
 {
 
-constexpr auto in_force_poll = std::chrono::milliseconds(100);
+constexpr auto in_force_poll_interval = std::chrono::milliseconds(100);
 
 int intent_apply(const std::string& path)
 {
@@ -30,39 +30,39 @@
     {
         return exit_usage;
     }
-    control_api_client caller = make_caller();
+    control_api_client client = make_client();
     std::int64_t based_on = absl::GetFlag(FLAGS_based_on);
     if (based_on < 0)
     {
-        const control_answer present = caller.get("/v1/configuration");
+        const control_answer present = client.get("/v1/configuration");
         if (!present.accepted())
         {
-            return conclude(present, {});
+            return print_answer(present, {});
         }
         based_on = present.body.value("version", 0);
     }
-    const control_answer answer = caller.post("/v1/plans",
+    const control_answer answer = client.post("/v1/plans",
                                               {{"request", request_identity()},
                                                {"operator", operator_name()},
                                                {"based_on", based_on},
                                                {"intent", *document}});
-    const int code = conclude(answer,
-                              [](const nlohmann::json& body)
-                              {
-                                  print_plan(body.at("detail"));
-                              });
+    const int code = print_answer(answer,
+                                  [](const nlohmann::json& body)
+                                  {
+                                      print_plan(body.at("detail"));
+                                  });
     const bool refused = answer.accepted() && answer.body.at("detail").value("refused", false);
     return refused ? exit_refused : code;
 }
 
-int wait_in_force(control_api_client& caller, std::uint64_t version)
+int wait_until_in_force(control_api_client& client, std::uint64_t version)
 {
     const bool on_terminal = ::isatty(STDERR_FILENO) != 0;
     const auto end =
         std::chrono::steady_clock::now() + std::chrono::milliseconds(absl::GetFlag(FLAGS_limit_ms));
     while (std::chrono::steady_clock::now() < end)
     {
-        const control_answer answer = caller.get("/v1/in_force/" + std::to_string(version));
+        const control_answer answer = client.get("/v1/in_force/" + std::to_string(version));
         if (answer.accepted() && answer.body.value("in_force", false))
         {
             std::cout << "Version " << version << " is in force everywhere.\n";
@@ -72,7 +72,7 @@
         {
             std::cerr << "." << std::flush;
         }
-        std::this_thread::sleep_for(in_force_poll);
+        std::this_thread::sleep_for(in_force_poll_interval);
     }
     std::cerr << "plumspoke: version " << version
               << " is accepted, but not yet known to be in force everywhere; see plumspoke status\n";
@@ -89,16 +89,16 @@
     }
     if (words.size() == 1 && std::string_view(words[0]) == "list")
     {
-        return conclude(make_caller().get("/v1/configuration"),
-                        [](const nlohmann::json& config)
-                        {
-                            std::cout << "Version " << config.value("version", 0) << " by "
-                                      << config.value("changed_by", "") << "\n";
-                            print_rows(
-                                config.at("services"),
-                                {"name", "team", "answer_within_ms", "safe_to_repeat", "slots_per_worker"});
-                            print_rows(config.at("teams"), {"name", "quota"});
-                        });
+        return print_answer(
+            make_client().get("/v1/configuration"),
+            [](const nlohmann::json& config)
+            {
+                std::cout << "Version " << config.value("version", 0) << " by "
+                          << config.value("changed_by", "") << "\n";
+                print_rows(config.at("services"),
+                           {"name", "team", "answer_within_ms", "safe_to_repeat", "slots_per_worker"});
+                print_rows(config.at("teams"), {"name", "quota"});
+            });
     }
     std::cerr << "plumspoke: intent apply FILE, or intent list\n";
     return exit_usage;
@@ -109,39 +109,39 @@
     const std::string verb = words.empty() ? "" : words[0];
     if (verb == "list" && words.size() == 1)
     {
-        return conclude(make_caller().get("/v1/plans"),
-                        [](const nlohmann::json& body)
-                        {
-                            print_rows(body, {"id", "based_on", "operator", "phase", "refused", "steps"});
-                        });
+        return print_answer(make_client().get("/v1/plans"),
+                            [](const nlohmann::json& body)
+                            {
+                                print_rows(body, {"id", "based_on", "operator", "phase", "refused", "steps"});
+                            });
     }
     if (words.size() != 2 || (verb != "show" && verb != "confirm" && verb != "discard"))
     {
         std::cerr << "plumspoke: plan list, plan show ID, plan confirm ID, or plan discard ID\n";
         return exit_usage;
     }
-    control_api_client caller = make_caller();
+    control_api_client client = make_client();
     const std::string path = "/v1/plans/" + std::string(words[1]);
     if (verb == "show")
     {
-        return conclude(caller.get(path), &print_plan);
+        return print_answer(client.get(path), &print_plan);
     }
-    const control_answer answer = caller.post(path + "/" + verb, {{"request", request_identity()}});
+    const control_answer answer = client.post(path + "/" + verb, {{"request", request_identity()}});
     std::uint64_t version = 0;
-    const int code = conclude(answer,
-                              [&](const nlohmann::json& body)
-                              {
-                                  version = body.value("version", 0U);
-                                  std::cout << "Plan " << words[1]
-                                            << (verb == "confirm" ? " is accepted as version "
-                                                                  : " is discarded at version ")
-                                            << version << ".\n";
-                              });
+    const int code = print_answer(answer,
+                                  [&](const nlohmann::json& body)
+                                  {
+                                      version = body.value("version", 0U);
+                                      std::cout << "Plan " << words[1]
+                                                << (verb == "confirm" ? " is accepted as version "
+                                                                      : " is discarded at version ")
+                                                << version << ".\n";
+                                  });
     if (code != exit_done || verb == "discard" || !absl::GetFlag(FLAGS_wait) || absl::GetFlag(FLAGS_json))
     {
         return code;
     }
-    return wait_in_force(caller, version);
+    return wait_until_in_force(client, version);
 }
 
 } // namespace plumspoke::cli
--- a/apps/cli/process_commands.cpp
+++ b/apps/cli/process_commands.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief One process at a time: its settings and its counters.
+/// @brief Commands that inspect a single process: its settings and its counters.
 
 #include "commands.hpp"
 #include "conversation.hpp"
@@ -45,11 +45,12 @@
     const std::vector<std::string> control = absl::StrSplit(absl::GetFlag(FLAGS_control), ',');
     for (const char* path : {"/_plumspoke/metrics", "/metrics"})
     {
-        http::request sent;
-        sent.method = "GET";
-        sent.path = path;
-        const auto answer = http::call(
-            address.empty() ? control.front() : address, sent, milliseconds(absl::GetFlag(FLAGS_limit_ms)));
+        http::request request;
+        request.method = "GET";
+        request.path = path;
+        const auto answer = http::call(address.empty() ? control.front() : address,
+                                       request,
+                                       milliseconds(absl::GetFlag(FLAGS_limit_ms)));
         if (answer.has_value() && answer->status == 200)
         {
             std::cout << answer->body;
--- a/apps/cli/tables.cpp
+++ b/apps/cli/tables.cpp
@@ -69,13 +69,13 @@
     nlohmann::json workers = status.at("workers");
     for (nlohmann::json& worker : workers)
     {
-        const auto part_of = [&worker](const char* field)
+        const auto format_usage = [&worker](const char* field)
         {
             return std::to_string(worker.at("used").value(field, 0)) + "/" +
                    std::to_string(worker.at("capacity").value(field, 0));
         };
-        worker["millicores"] = part_of("millicores");
-        worker["memory_mb"] = part_of("memory_mb");
+        worker["millicores"] = format_usage("millicores");
+        worker["memory_mb"] = format_usage("memory_mb");
     }
     print_rows(
         workers,
--- a/apps/cli/tables.hpp
+++ b/apps/cli/tables.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief What control answered, as lines and tables for a reader.
+/// @brief Formats answers of the control VMs as text and tables.
 
 #include <nlohmann/json.hpp>
 #include <string>
@@ -10,7 +10,7 @@
 namespace plumspoke::cli
 {
 
-/// @brief One line for each row, one column for each field of `columns`; `-` where a row has none.
+/// @brief Prints one line per row with one column per field in `columns`; `-` stands for a missing field.
 void print_rows(const nlohmann::json& rows, const std::vector<std::string>& columns);
 
 void print_plan(const nlohmann::json& plan);
--- a/apps/plumspoke_cli.cpp
+++ b/apps/plumspoke_cli.cpp
@@ -1,5 +1,6 @@
 /// @file
-/// @brief The operators' command line. Exit codes: 0 done, 1 refused, 2 usage or settings, 3 not reached.
+/// @brief The command-line client for operators. Exit codes: 0 success, 1 request refused, 2 invalid usage or
+///        settings, 3 control VMs unreachable.
 
 #include "cli/commands.hpp"
 #include "cli/conversation.hpp"
@@ -70,18 +71,18 @@
     }
     if (command == "explain" && rest.size() == 1)
     {
-        return conclude(make_caller().get("/v1/explain/" + std::string(rest[0])),
-                        [](const nlohmann::json& body)
-                        {
-                            for (const nlohmann::json& line : body.at("lines"))
+        return print_answer(make_client().get("/v1/explain/" + std::string(rest[0])),
+                            [](const nlohmann::json& body)
                             {
-                                std::cout << line.get<std::string>() << "\n";
-                            }
-                        });
+                                for (const nlohmann::json& line : body.at("lines"))
+                                {
+                                    std::cout << line.get<std::string>() << "\n";
+                                }
+                            });
     }
     if (command == "status")
     {
-        return conclude(make_caller().get("/v1/status"), &print_status);
+        return print_answer(make_client().get("/v1/status"), &print_status);
     }
     if (command == "errors")
     {
--- a/apps/plumspoked.cpp
+++ b/apps/plumspoked.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The daemon: one process, one role, named in its settings.
+/// @brief The daemon. Each process runs one role, which its settings select.
 
 #include "plumspoke/control/server.hpp"
 #include "plumspoke/entry/server.hpp"
@@ -41,7 +41,7 @@
 constexpr int exit_failed = 1;
 constexpr int exit_settings = 2;
 constexpr auto poll_interval = std::chrono::milliseconds(50);
-constexpr const char* part = "daemon";
+constexpr const char* log_component = "daemon";
 
 volatile std::sig_atomic_t stop_requested = 0;
 volatile std::sig_atomic_t reload_requested = 0;
@@ -56,7 +56,7 @@
     reload_requested = 1;
 }
 
-void install_signals()
+void install_signal_handlers()
 {
     struct sigaction action
     {
@@ -96,7 +96,7 @@
     ps::control::server server(settings);
     if (const std::error_code failed = server.start(); failed)
     {
-        PLUMSPOKE_LOG(ERROR, part) << "Not started. " << failed.message() << ".";
+        PLUMSPOKE_LOG(ERROR, log_component) << "Not started. " << failed.message() << ".";
         return exit_failed;
     }
     while (stop_requested == 0)
@@ -117,7 +117,7 @@
     ps::entry::server server(settings);
     if (const std::error_code failed = server.start(); failed)
     {
-        PLUMSPOKE_LOG(ERROR, part) << "Not started. " << failed.message() << ".";
+        PLUMSPOKE_LOG(ERROR, log_component) << "Not started. " << failed.message() << ".";
         return exit_failed;
     }
     while (stop_requested == 0)
@@ -128,9 +128,11 @@
     return 0;
 }
 
-// ---- the platform's interface ------------------------------------------------------------------
+// ---- Platform interface ------------------------------------------------------------------------
 
-/// @brief The control VMs that the settings file names now: it may have changed since the start.
+/// @brief Reads the addresses of the control VMs from the settings file, which may have changed since the
+///        process started.
+/// @return the addresses; empty, with a log line, if the settings are invalid
 std::vector<std::string> read_seeds(const std::string& path)
 {
     std::vector<ps::settings::fault> faults;
@@ -143,9 +145,10 @@
             return settings.control;
         }
     }
-    ps::logging::write(ps::logging::event(part, "settings_unreadable", "The settings can't be read anew.")
-                           .with("path", faults.front().path)
-                           .with("fault", faults.front().message));
+    ps::logging::write(
+        ps::logging::event(log_component, "settings_unreadable", "The settings can't be read anew.")
+            .with("path", faults.front().path)
+            .with("fault", faults.front().message));
     return {};
 }
 
@@ -154,7 +157,7 @@
     if (const std::error_code failed = server.start(); failed)
     {
         ps::logging::write(
-            ps::logging::event(part, "not_started", "Not started.").with("error", failed.message()));
+            ps::logging::event(log_component, "not_started", "Not started.").with("error", failed.message()));
         return exit_failed;
     }
     while (stop_requested == 0)
@@ -164,7 +167,7 @@
         {
             reload_requested = 0;
             const std::vector<std::string> seeds = read_seeds(path);
-            ps::logging::write(ps::logging::event(part, "reloaded", "Read the settings anew.")
+            ps::logging::write(ps::logging::event(log_component, "reloaded", "Read the settings anew.")
                                    .with("control_seeds", static_cast<std::int64_t>(seeds.size())));
         }
         if constexpr (requires { server.failure(); })
@@ -173,13 +176,13 @@
             {
                 server.stop();
                 std::_Exit(
-                    exit_failed); // as below: with its threads alive the server must not be taken apart
+                    exit_failed); // skips destructors: server threads are still running, as explained below
             }
         }
     }
     server.stop();
-    // All that was promised is answered and synced. An orderly end of CivetWeb's threads would wait for
-    // idle connections, longer than the time that a planned stop is given.
+    // Every accepted request has been answered and its changes are synced to disk. Joining CivetWeb's threads
+    // would wait for idle connections, which takes longer than a planned stop is allowed to take.
     std::_Exit(0);
 }
 
@@ -231,9 +234,9 @@
     {
         return print_faults(faults);
     }
-    // The library's own check for lock cycles, which costs each call between processes some of its time.
+    // Abseil's deadlock detection slows down every call between processes.
     absl::SetMutexDeadlockDetectionMode(absl::OnDeadlockCycle::kIgnore);
-    install_signals();
+    install_signal_handlers();
     if (ps::settings::read_interface(document) == ps::settings::interface_kind::platform)
     {
         const ps::settings::job_settings settings = ps::settings::parse_job_settings(document, faults);
