--- a/apps/cli/conversation.cpp
+++ b/apps/cli/conversation.cpp
@@ -49,10 +49,11 @@
     {
         for (const nlohmann::json& row : detail)
         {
-            const std::string where = row.contains("path") ? row.value("path", "") : row.value("subject", "");
-            const std::string what =
+            const std::string location =
+                row.contains("path") ? row.value("path", "") : row.value("subject", "");
+            const std::string message =
                 row.contains("message") ? row.value("message", "") : row.value("reason", "");
-            std::cerr << "  " << where << ": " << what << "\n";
+            std::cerr << "  " << location << ": " << message << "\n";
         }
     }
 }
--- a/apps/cli/job_commands.cpp
+++ b/apps/cli/job_commands.cpp
@@ -40,14 +40,14 @@
     {
         const control_answer answer =
             client.post("/v1/jobs/" + std::string(id) + "/cancel", nlohmann::json::object());
-        const int one = print_answer(answer,
-                                     [id](const nlohmann::json& body)
-                                     {
-                                         std::cout << "Job " << id << ": "
-                                                   << body.at("detail").value("phase", "") << ", "
-                                                   << body.at("detail").value("reason", "") << "\n";
-                                     });
-        code = std::max(code, one);
+        const int exit_code = print_answer(answer,
+                                           [id](const nlohmann::json& body)
+                                           {
+                                               std::cout << "Job " << id << ": "
+                                                         << body.at("detail").value("phase", "") << ", "
+                                                         << body.at("detail").value("reason", "") << "\n";
+                                           });
+        code = std::max(code, exit_code);
     }
     return code;
 }
--- a/apps/cli/plan_commands.cpp
+++ b/apps/cli/plan_commands.cpp
@@ -34,12 +34,12 @@
     std::int64_t based_on = absl::GetFlag(FLAGS_based_on);
     if (based_on < 0)
     {
-        const control_answer present = client.get("/v1/configuration");
-        if (!present.accepted())
+        const control_answer current = client.get("/v1/configuration");
+        if (!current.accepted())
         {
-            return print_answer(present, {});
+            return print_answer(current, {});
         }
-        based_on = present.body.value("version", 0);
+        based_on = current.body.value("version", 0);
     }
     const control_answer answer = client.post("/v1/plans",
                                               {{"request", request_identity()},
--- a/bench/policy_world.cpp
+++ b/bench/policy_world.cpp
@@ -26,7 +26,7 @@
 {
     std::string job;
     std::uint64_t token = 0;
-    std::size_t kind = 0;
+    std::size_t class_index = 0;
     double remaining_s = 0;
     bool throttled = false;
     bool fails = false;
@@ -163,10 +163,10 @@
         {
             burst_until_s_ = now_s_ + 240;
         }
-        for (std::size_t kind = 0; kind < deployment_.classes.size(); ++kind)
+        for (std::size_t class_index = 0; class_index < deployment_.classes.size(); ++class_index)
         {
-            const work_class& one = deployment_.classes[kind];
-            const bool in_burst = now_s_ < burst_until_s_ && kind == 0;
+            const work_class& one = deployment_.classes[class_index];
+            const bool in_burst = now_s_ < burst_until_s_ && class_index == 0;
             const double rate = one.arrivals_per_minute * interpolate_over_run(deployment_.batch_rate) *
                                 (in_burst ? 3 : 1) * tick_s / 60;
             const int count = std::poisson_distribution<int>(rate)(arrival_random_);
@@ -217,22 +217,22 @@
         double sum = 0;
         for (const live_task& task : one.tasks)
         {
-            const work_class& kind = deployment_.classes[task.kind];
-            const double share = static_cast<double>(kind.real.millicores) /
+            const work_class& work_type = deployment_.classes[task.class_index];
+            const double share = static_cast<double>(work_type.real.millicores) /
                                  static_cast<double>(deployment_.capacity.millicores);
-            sum += share * slowdown_at(kind, load) * (task.throttled ? throttled_interference : 1);
+            sum += share * slowdown_at(work_type, load) * (task.throttled ? throttled_interference : 1);
         }
         return sum;
     }
 
     /// Interpolates the slowdown linearly between the midpoints of adjacent load levels.
-    static double slowdown_at(const work_class& kind, double load)
+    static double slowdown_at(const work_class& work_type, double load)
     {
         const double position = std::clamp(
             load * control::load_levels - 0.5, 0.0, static_cast<double>(control::load_levels) - 1.001);
         const auto below = static_cast<std::size_t>(position);
         const double fraction = position - static_cast<double>(below);
-        return kind.slowdown.at(below) * (1 - fraction) + kind.slowdown.at(below + 1) * fraction;
+        return work_type.slowdown.at(below) * (1 - fraction) + work_type.slowdown.at(below + 1) * fraction;
     }
 
     void simulate_tick(simulated_worker& one)
@@ -245,23 +245,24 @@
         double used = load * static_cast<double>(deployment_.reserve.millicores);
         for (const live_task& task : one.tasks)
         {
-            used += static_cast<double>(deployment_.classes[task.kind].real.millicores) *
+            used += static_cast<double>(deployment_.classes[task.class_index].real.millicores) *
                     (task.throttled ? throttled_speed : 1);
         }
-        const double crowding = std::max(1.0, used / static_cast<double>(deployment_.capacity.millicores));
-        const double factor = (1 + service_slowdown(one, load)) * crowding * crowding;
+        const double contention = std::max(1.0, used / static_cast<double>(deployment_.capacity.millicores));
+        const double factor = (1 + service_slowdown(one, load)) * contention * contention;
         const int answers = std::max(1, static_cast<int>(std::lround(answers_per_tick * load * 2)));
         for (int i = 0; i < answers; ++i)
         {
-            const double drawn = std::lognormal_distribution<double>(0, noise)(noise_random_);
-            const double ms = deployment_.unloaded_latency_ms * (1 + 0.6 * load * load) * drawn * factor;
+            const double noise_factor = std::lognormal_distribution<double>(0, noise)(noise_random_);
+            const double ms =
+                deployment_.unloaded_latency_ms * (1 + 0.6 * load * load) * noise_factor * factor;
             run_latencies_.add(ms);
             minute_latencies_.add(ms);
             one.recent_latencies_ms.push_back(ms);
         }
         for (live_task& task : one.tasks)
         {
-            task.remaining_s -= tick_s * (task.throttled ? throttled_speed : 1) / crowding;
+            task.remaining_s -= tick_s * (task.throttled ? throttled_speed : 1) / contention;
         }
         finish_tasks(one);
         if (std::fmod(now_s_, report_every_s) < tick_s)
@@ -284,9 +285,9 @@
             {
                 apply(control::report_task{
                     task.job, task.token, control::task_event::finished, "", "done", ""});
-                batch_core_hours_ += initial_remaining_s_[task.job] *
-                                     static_cast<double>(deployment_.classes[task.kind].real.millicores) /
-                                     3'600'000;
+                batch_core_hours_ +=
+                    initial_remaining_s_[task.job] *
+                    static_cast<double>(deployment_.classes[task.class_index].real.millicores) / 3'600'000;
             }
             else
             {
@@ -308,7 +309,7 @@
             row.job = task.job;
             row.token = task.token;
             row.state = task.throttled ? worker::task_state::throttled : worker::task_state::running;
-            row.used = deployment_.classes[task.kind].real;
+            row.used = deployment_.classes[task.class_index].real;
             if (task.throttled)
             {
                 row.used.millicores =
@@ -377,13 +378,13 @@
         live_task task;
         task.job = placed.job;
         task.token = token;
-        const auto kind = std::find_if(deployment_.classes.begin(),
-                                       deployment_.classes.end(),
-                                       [&job](const work_class& one)
-                                       {
-                                           return one.name == job.spec.work_class;
-                                       });
-        task.kind = static_cast<std::size_t>(kind - deployment_.classes.begin());
+        const auto found = std::find_if(deployment_.classes.begin(),
+                                        deployment_.classes.end(),
+                                        [&job](const work_class& one)
+                                        {
+                                            return one.name == job.spec.work_class;
+                                        });
+        task.class_index = static_cast<std::size_t>(found - deployment_.classes.begin());
         task.remaining_s = remaining_s_[placed.job];
         initial_remaining_s_.emplace(placed.job, task.remaining_s);
         simulated_worker& target_worker = find_worker(placed.worker);
--- a/bench/request_path.cpp
+++ b/bench/request_path.cpp
@@ -286,11 +286,11 @@
                                           {"safe_to_repeat", true},
                                           {"endpoints", list}}}}};
         operators::control_api_client caller({control_address_}, milliseconds(15000));
-        const operators::control_answer present = caller.get("/v1/configuration");
+        const operators::control_answer current = caller.get("/v1/configuration");
         const operators::control_answer plan = caller.post("/v1/plans",
                                                            {{"request", std::to_string(++requests_)},
                                                             {"operator", "bench"},
-                                                            {"based_on", present.body["version"]},
+                                                            {"based_on", current.body["version"]},
                                                             {"intent", intent}});
         const std::string path = "/v1/plans/" + std::to_string(plan.body["id"].get<int>()) + "/confirm";
         (void)caller.post(path, {{"request", std::to_string(++requests_)}});
@@ -403,12 +403,13 @@
     system.endpoints[4].fails = true;
     const double requests = system.read_counter("plumspoke_requests_total");
     const double attempts = system.read_counter("plumspoke_attempts_total");
-    const load_result seen = measure_load(system.entry_address, "/s/x", 8);
-    const double sent = system.read_counter("plumspoke_attempts_total") - attempts;
-    const double taken = system.read_counter("plumspoke_requests_total") - requests;
-    out.record("sent / taken, a third failing (aim 1.10)", sent / std::max(1.0, taken), 0, 1.10);
+    const load_result result = measure_load(system.entry_address, "/s/x", 8);
+    const double attempts_sent = system.read_counter("plumspoke_attempts_total") - attempts;
+    const double requests_taken = system.read_counter("plumspoke_requests_total") - requests;
+    out.record(
+        "sent / taken, a third failing (aim 1.10)", attempts_sent / std::max(1.0, requests_taken), 0, 1.10);
     out.record("done share, a third failing (aim 0.99)",
-               seen.done / std::max(1.0, seen.done + seen.refused),
+               result.done / std::max(1.0, result.done + result.refused),
                0.99,
                no_limit);
     system.endpoints[1].fails = false;
