--- a/apps/cli/conversation.cpp
+++ b/apps/cli/conversation.cpp
@@ -49,17 +49,18 @@
     {
         for (const nlohmann::json& row : detail)
         {
-            const std::string where = row.contains("path") ? row.value("path", "") : row.value("subject", "");
-            const std::string what =
+            const std::string location =
+                row.contains("path") ? row.value("path", "") : row.value("subject", "");
+            const std::string message =
                 row.contains("message") ? row.value("message", "") : row.value("reason", "");
-            std::cerr << "  " << where << ": " << what << "\n";
+            std::cerr << "  " << location << ": " << message << "\n";
         }
     }
 }
 
 } // namespace
 
-control_api_client make_caller()
+control_api_client make_client()
 {
     return {absl::StrSplit(absl::GetFlag(FLAGS_control), ','), milliseconds(absl::GetFlag(FLAGS_limit_ms))};
 }
@@ -88,7 +89,7 @@
     return login == nullptr ? "operator" : login;
 }
 
-int conclude(const control_answer& answer, const std::function<void(const nlohmann::json&)>& show)
+int print_answer(const control_answer& answer, const std::function<void(const nlohmann::json&)>& show)
 {
     if (absl::GetFlag(FLAGS_json) && answer.reached())
     {
--- a/bench/control.cpp
+++ b/bench/control.cpp
@@ -1,5 +1,5 @@
-// The control state: commits and syncs, elections, the cost of reports, and restarts. Replicas of one group
-// in one process, each with its own data folder, over gRPC on loopback.
+// Measures commits and syncs, elections, restarts and the cost of reports. All replicas of a group run in
+// this process, each with its own data folder, and communicate over gRPC on loopback.
 
 #include "free_address.hpp"
 #include "plumspoke/control/control_state_machine.hpp"
@@ -35,7 +35,7 @@
     std::cout << std::left << std::setw(66) << name << std::fixed << std::setprecision(3) << value << "\n";
 }
 
-/// One replica with its folder and its gRPC server.
+/// A replica with its data folder and its gRPC server.
 class bench_replica
 {
   public:
@@ -120,7 +120,7 @@
         std::filesystem::remove_all(folder_);
     }
 
-    /// The leader that may act, waited for.
+    /// Waits until a replica holds the leader lease and returns it.
     [[nodiscard]] bench_replica& leader() const
     {
         while (true)
@@ -145,7 +145,7 @@
 void measure_commits(bench_group& group)
 {
     static std::atomic<std::uint64_t> next{1};
-    for (const int waiting : {1, 8, 64})
+    for (const int proposer_count : {1, 8, 64})
     {
         bench_replica& leader = group.leader();
         const replica::replica_status before = leader.driver->status();
@@ -153,9 +153,9 @@
         const double processor = processor_seconds();
         std::atomic<std::uint64_t> committed{0};
         std::vector<std::thread> threads;
-        threads.reserve(static_cast<std::size_t>(waiting));
+        threads.reserve(static_cast<std::size_t>(proposer_count));
         const time_point end = std::chrono::steady_clock::now() + milliseconds(absl::GetFlag(FLAGS_run_ms));
-        for (int i = 0; i < waiting; ++i)
+        for (int i = 0; i < proposer_count; ++i)
         {
             threads.emplace_back(
                 [&]
@@ -177,7 +177,7 @@
         }
         const replica::replica_status after = leader.driver->status();
         const auto count = static_cast<double>(committed.load());
-        const std::string suffix = ", " + std::to_string(waiting) + " waiting";
+        const std::string suffix = ", " + std::to_string(proposer_count) + " waiting";
         print("commits a second" + suffix, count * 1000 / static_cast<double>(absl::GetFlag(FLAGS_run_ms)));
         print("leader's syncs a commit" + suffix,
               static_cast<double>(after.sync_count - before.sync_count) / count);
@@ -206,7 +206,7 @@
     {
         bench_replica& leader = group.leader();
         const time_point killed = std::chrono::steady_clock::now();
-        leader.stop(); // its peers see what they would see of a kill: silence
+        leader.stop(); // to its peers this looks like a killed process: it stops answering
         (void)group.leader();
         gaps.push_back(
             std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now() - killed).count());
@@ -224,8 +224,8 @@
     {
         std::string pattern = (std::filesystem::temp_directory_path() / "plumspoke-bench-XXXXXX").string();
         const std::filesystem::path folder = ::mkdtemp(pattern.data());
-        const replica::membership alone = {{{"c1.first", "c1", free_address(), true}}};
-        bench_replica one(folder / "c1", alone.members[0].address, alone, "c1");
+        const replica::membership single_member = {{{"c1.first", "c1", free_address(), true}}};
+        bench_replica one(folder / "c1", single_member.members[0].address, single_member, "c1");
         one.start();
         while (!one.driver->holds_lease(std::chrono::steady_clock::now()))
         {
@@ -238,7 +238,7 @@
         {
             control::begin_claim claim;
             claim.service = "sync";
-            claim.key = std::to_string(i % 500); // the state stays the same size; only the history grows
+            claim.key = std::to_string(i % 500); // keeps the size of the state constant while the log grows
             while (done < i - 4000)
             {
                 std::this_thread::yield();
@@ -268,7 +268,7 @@
     }
 }
 
-/// Times a decision on its own.
+/// Returns the processor time of one call of `work`, in microseconds, averaged over `count` calls.
 template <typename Work> double microseconds_each(int count, Work work)
 {
     const double before = processor_seconds();
