--- a/tests/world/task_world.cpp
+++ b/tests/world/task_world.cpp
@@ -10,14 +10,14 @@
 namespace
 {
 
-constexpr auto no_answer_after = milliseconds(700); // what the shell waits for an order
+constexpr auto no_answer_after = milliseconds(700); // timeout of an order in the control process
 constexpr auto announce_interval = milliseconds(1100);
 constexpr auto tick = milliseconds(25);
 constexpr auto commit_time = milliseconds(15);
-constexpr std::int64_t hold_max_ms = 6000; // the users' bound on a lease
-constexpr auto waiting_age = seconds(2);   // a count of waiting jobs may be so old
-// From a cancel to the end of its runs on calm stretches: an order that is given up, its retry, the stop
-// itself.
+constexpr std::int64_t hold_max_ms = 6000; // upper bound on a lease, a requirement
+constexpr auto waiting_age = seconds(2);   // permitted age of a count of waiting jobs
+// From a cancel to the end of its runs while no fault is active: an order that times out, its retry and
+// the stop itself.
 constexpr auto cancel_limit = milliseconds(2500);
 
 dispatch::recipient recipient_of(const dispatch::order& what)
@@ -40,7 +40,7 @@
     (void)store_.apply(jobs::configure{config});
 }
 
-void task_world::broken(std::string what)
+void task_world::report_violation(std::string what)
 {
     const auto at_ms = std::chrono::duration_cast<milliseconds>(now_ - start_).count();
     outcome_.broken.push_back(std::to_string(at_ms) + " ms: " + std::move(what));
@@ -78,7 +78,7 @@
     return std::chrono::duration_cast<milliseconds>(now_.time_since_epoch()).count();
 }
 
-std::int64_t task_world::clock_of(const worker& of) const
+std::int64_t task_world::worker_clock_ms(const worker& of) const
 {
     const double passed = std::chrono::duration<double, std::milli>(now_ - start_).count();
     return of.offset_ms + static_cast<std::int64_t>(passed * of.rate);
@@ -163,7 +163,7 @@
     added.rate = chance(0.5) ? 0.98 : 1.0;
     added.offset_ms = between(1000, 900'000);
     added.info.life.born_ms = day_ms();
-    added.borns.insert(added.info.life.born_ms);
+    added.start_times_ms.insert(added.info.life.born_ms);
     announce(id, added.lives);
     return id;
 }
@@ -189,7 +189,7 @@
 
 void task_world::lapse(worker& on)
 {
-    if (clock_of(on) < on.lease_until_ms)
+    if (worker_clock_ms(on) < on.lease_until_ms)
     {
         return;
     }
@@ -228,22 +228,22 @@
     const jobs::job* job = store_.find(name.task.job);
     if (job == nullptr)
     {
-        broken("a start of a job that nobody submitted: " + name.task.job.text());
+        report_violation("start of a job that was not submitted: " + name.task.job.text());
         return;
     }
     if (job->spec.steps.empty())
     {
-        broken("a start of a job that is over: " + name.task.job.text());
+        report_violation("start of a job that has ended: " + name.task.job.text());
         return;
     }
     const jobs::step_spec& spec = job->spec.steps[name.task.step];
-    if (done_noted_.contains(name.task) && !spec.copies_allowed)
+    if (recorded_done_.contains(name.task) && !spec.copies_allowed)
     {
-        broken("a start after the task is done: " + name.task.job.text());
+        report_violation("start of a task that is already done: " + name.task.job.text());
     }
     if (!job->is_ready(job->occurrences.at(name.task.occurrence), name.task.step))
     {
-        broken("a start before the steps that it waits for: " + name.task.job.text());
+        report_violation("start before the steps that it depends on are done: " + name.task.job.text());
     }
     for (const auto& [id, other] : workers_)
     {
@@ -251,9 +251,11 @@
         {
             if (other.alive && running.task == name.task && !spec.copies_allowed)
             {
-                broken("a second run of " + name.task.job.text() + " step " + std::to_string(name.task.step) +
-                       ": attempt " + std::to_string(name.attempt) + " on " + on.info.life.id + " beside " +
-                       std::to_string(running.attempt) + " on " + id);
+                report_violation("second concurrent run of " + name.task.job.text() + " step " +
+                                 std::to_string(name.task.step) + ": attempt " +
+                                 std::to_string(name.attempt) + " on " + on.info.life.id +
+                                 ", already running: attempt " + std::to_string(running.attempt) + " on " +
+                                 id);
             }
         }
     }
@@ -265,7 +267,7 @@
     }
     if (!used.fits_into(on.info.room))
     {
-        broken("more than its room on " + on.info.life.id);
+        report_violation("resources exceeded on " + on.info.life.id);
     }
 }
 
@@ -275,20 +277,20 @@
     std::uint32_t most = 0;
     for (const auto& [order, job] : store_.live())
     {
-        const auto begun = begun_at_.find(job->id);
-        least += begun == begun_at_.end() ? 1 : 0;
-        most += begun == begun_at_.end() || now_ < begun->second + waiting_age ? 1 : 0;
+        const auto begun = first_started_at_.find(job->id);
+        least += begun == first_started_at_.end() ? 1 : 0;
+        most += begun == first_started_at_.end() || now_ < begun->second + waiting_age ? 1 : 0;
     }
     const std::uint32_t said = store_.pending(jobs::queue{});
     if (said < least)
     {
-        broken(std::to_string(said) + " jobs are said to wait, and no worker has begun any of " +
-               std::to_string(least));
+        report_violation(std::to_string(said) + " jobs are said to wait, and no worker has begun any of " +
+                         std::to_string(least));
     }
     if (faults_.is_calm() && said > most)
     {
-        broken(std::to_string(said) + " jobs are said to wait, and all but " + std::to_string(most) +
-               " have begun long ago");
+        report_violation(std::to_string(said) + " jobs are said to wait, and all but " +
+                         std::to_string(most) + " have begun long ago");
     }
 }
 
@@ -302,9 +304,11 @@
             continue;
         }
         const time_point cancelled_at{milliseconds(job->ended_at_ms)};
-        if (now_ > std::max(cancelled_at, calm_since_) + cancel_limit && overdue_.insert(name).second)
+        if (now_ > std::max(cancelled_at, calm_since_) + cancel_limit &&
+            reported_overdue_.insert(name).second)
         {
-            broken("a run of a cancelled job goes on: " + name.task.job.text() + " on " + on.info.life.id);
+            report_violation("a run of a cancelled job was not stopped: " + name.task.job.text() + " on " +
+                             on.info.life.id);
         }
     }
 }
@@ -312,23 +316,23 @@
 dispatch::worker_answer task_world::start(worker& on, const dispatch::start_order& what)
 {
     on.lease_until_ms =
-        std::max(on.lease_until_ms, std::min(what.lease_until_ms, clock_of(on) + hold_max_ms));
+        std::max(on.lease_until_ms, std::min(what.lease_until_ms, worker_clock_ms(on) + hold_max_ms));
     if (on.running.contains(what.name))
     {
-        return {dispatch::reply::done, clock_of(on), {}, {}};
+        return {dispatch::reply::done, worker_clock_ms(on), {}, {}};
     }
     if (on.ended.contains(what.name.task) && on.ended.at(what.name.task) >= what.name.attempt)
     {
-        return {dispatch::reply::superseded, clock_of(on), {}, {}};
+        return {dispatch::reply::superseded, worker_clock_ms(on), {}, {}};
     }
-    if (what.lease_until_ms <= clock_of(on))
+    if (what.lease_until_ms <= worker_clock_ms(on))
     {
-        return {dispatch::reply::expired, clock_of(on), {}, {}};
+        return {dispatch::reply::expired, worker_clock_ms(on), {}, {}};
     }
     check_start(on, what.name);
-    note_crashing_start(on, what.name);
+    record_crashing_start(on, what.name);
     ++outcome_.starts;
-    begun_at_.try_emplace(what.name.task.job, now_);
+    first_started_at_.try_emplace(what.name.task.job, now_);
     const jobs::step_spec& spec = store_.find(what.name.task.job)->spec.steps[what.name.task.step];
     running_task task;
     task.started_at = now_;
@@ -354,7 +358,7 @@
                end_run(of, name, fails ? jobs::run_end::failed : jobs::run_end::done);
            });
     }
-    return {dispatch::reply::done, clock_of(on), {}, {}};
+    return {dispatch::reply::done, worker_clock_ms(on), {}, {}};
 }
 
 void task_world::stop(worker& on, const jobs::run_name& name)
@@ -388,7 +392,7 @@
         what);
     if (token < on.token)
     {
-        return {dispatch::reply::fenced, clock_of(on), {}, {}};
+        return {dispatch::reply::fenced, worker_clock_ms(on), {}, {}};
     }
     on.token = token;
     if (const auto* order = std::get_if<dispatch::start_order>(&what))
@@ -398,25 +402,25 @@
     if (const auto* order = std::get_if<dispatch::stop_order>(&what))
     {
         stop(on, order->name);
-        return {dispatch::reply::done, clock_of(on), {}, {}};
+        return {dispatch::reply::done, worker_clock_ms(on), {}, {}};
     }
-    dispatch::worker_answer out{dispatch::reply::done, clock_of(on), {}, {}};
+    dispatch::worker_answer out{dispatch::reply::done, worker_clock_ms(on), {}, {}};
     if (const auto* order = std::get_if<dispatch::poll_order>(&what))
     {
         if (order->lease_until_ms.has_value())
         {
-            on.lease_until_ms =
-                std::max(on.lease_until_ms, std::min(*order->lease_until_ms, clock_of(on) + hold_max_ms));
+            on.lease_until_ms = std::max(on.lease_until_ms,
+                                         std::min(*order->lease_until_ms, worker_clock_ms(on) + hold_max_ms));
         }
         std::erase_if(on.finished,
                       [this, order, &on](const dispatch::finished_row& row)
                       {
                           const bool noted = row.number <= order->ends_recorded;
-                          // An end counts as noted unless the lease lapsed between the two.
+                          // An end counts as recorded unless the lease lapsed between the end and the record.
                           const bool in_time = on.lapsed_at < on.ended_at.at(row.number);
                           if (noted && in_time && row.how == jobs::run_end::done)
                           {
-                              done_noted_.insert(row.name.task);
+                              recorded_done_.insert(row.name.task);
                           }
                           return noted;
                       });
@@ -430,8 +434,8 @@
 {
     const std::uint64_t epoch = epoch_;
     const time_point sent_at = now_;
-    const bool late = faulty() && chance(faults_.late_orders);
-    const bool lost = faulty() && chance(faults_.lost_answers);
+    const bool late = faults_active() && chance(faults_.late_orders);
+    const bool lost = faults_active() && chance(faults_.lost_answers);
     const duration way = milliseconds(between(1, 4));
     if (late || lost)
     {
@@ -512,16 +516,16 @@
                   reply(what, epoch, sent_at, got);
                   return;
               }
-              answer_unreached(what, epoch, sent_at); // reset before it was read
+              answer_unreached(what, epoch, sent_at); // the connection was reset before the answer was read
           });
 }
 
 void task_world::answer_unreached(const dispatch::order& what, std::uint64_t epoch, time_point sent_at)
 {
     const auto found = workers_.find(recipient_of(what).worker.id);
-    // A dead life's address answers as another life where its machine came back.
+    // The address of a crashed worker answers as another life if a process was started there again.
     const bool came_back = found != workers_.end() && !found->second.alive &&
-                           (found->second.waiting_poll != 0 || found->second.replaced);
+                           (found->second.address_reused != 0 || found->second.replaced);
     dispatch::worker_answer got;
     got.how = came_back ? dispatch::reply::other_life : dispatch::reply::none;
     after(came_back ? milliseconds(2) : no_answer_after,
@@ -546,7 +550,7 @@
         const worker& of = workers_.at(recipient_of(what).worker.id);
         if (!of.alive || of.lives != life)
         {
-            answer_unreached(what, epoch, sent_at); // it crashed while the poll waited
+            answer_unreached(what, epoch, sent_at); // the worker crashed during the long poll
             return;
         }
         dispatch::worker_answer got;
@@ -566,7 +570,7 @@
 {
     worker& of = workers_.at(id);
     lapse(of);
-    answer.clock_ms = clock_of(of);
+    answer.clock_ms = worker_clock_ms(of);
     answer.born_ms = of.info.life.born_ms;
     answer.finished = of.finished;
     for (const auto& [name, task] : of.running)
@@ -587,31 +591,31 @@
     const duration delay = draw_delay();
     if (delay.count() == 0)
     {
-        hear(what, epoch, sent_at, got);
+        handle_answer(what, epoch, sent_at, got);
         return;
     }
     after(delay,
           [this, what, epoch, sent_at, got]
           {
-              hear(what, epoch, sent_at, got);
+              handle_answer(what, epoch, sent_at, got);
           });
 }
 
-void task_world::hear(const dispatch::order& what,
-                      std::uint64_t epoch,
-                      time_point sent_at,
-                      const dispatch::worker_answer& got)
+void task_world::handle_answer(const dispatch::order& what,
+                               std::uint64_t epoch,
+                               time_point sent_at,
+                               const dispatch::worker_answer& got)
 {
     if (epoch == epoch_ && leading_)
     {
         leader_.answered(now_, {what, sent_at}, got);
-        pump();
+        run_decision();
     }
 }
 
 // ---- the leader --------------------------------------------------------------------------------
 
-void task_world::pump()
+void task_world::run_decision()
 {
     if (!leading_ || now_ < next_decision_at_)
     {
@@ -631,19 +635,20 @@
 
 void task_world::commit(const dispatch::planned_round& planned)
 {
-    committed_at_ = std::max(committed_at_, now_ + commit_time + draw_delay()); // in the order of the log
+    committed_at_ =
+        std::max(committed_at_, now_ + commit_time + draw_delay()); // commits keep the order of the log
     at(committed_at_,
        [this, planned, epoch = epoch_]
        {
            if (epoch != epoch_ && chance(0.5))
            {
-               return; // its leader was lost before it was on a quorum of disks
+               return; // the leader was lost before a quorum had synced the record
            }
            const jobs::command_answer answer = store_.apply(planned.command);
            if (epoch == epoch_ && leading_)
            {
                leader_.round_ended(now_, planned.id, answer.starts_accepted);
-               pump();
+               run_decision();
            }
        });
 }
@@ -666,14 +671,14 @@
               leading_ = true;
               calm_since_ = std::max(calm_since_, now_);
               leader_.lead(now_, term_, store_);
-              pump();
+              run_decision();
           });
 }
 
 void task_world::roll_faults()
 {
-    constexpr double per_roll = 0.1; // of a second
-    if (!faulty())
+    constexpr double per_roll = 0.1; // s
+    if (!faults_active())
     {
         return;
     }
@@ -699,7 +704,7 @@
             }
             of.alive = false;
             of.running.clear();
-            of.waiting_poll = chance(0.5) ? 1 : 0; // whether another life answers at its address
+            of.address_reused = chance(0.5) ? 1 : 0; // whether another process answers at its address
             after(milliseconds(between(500, 4000)),
                   [this]
                   {
@@ -754,7 +759,7 @@
             }
         }
         check_waiting();
-        pump();
+        run_decision();
         after(tick, ticker);
     };
     ticker();
--- a/tests/world/task_world_crashes.cpp
+++ b/tests/world/task_world_crashes.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// @brief Workers that crash and come back at their address as another life: by themselves, or since a task
-/// crashes whatever starts it.
+/// @brief Workers that crash and restart as another life: independently, or because of a task that crashes
+///        each worker that starts it.
 
 #include "task_world.hpp"
 
@@ -13,13 +13,13 @@
 namespace
 {
 
-constexpr std::uint32_t crashes_that_tell = 3;       // the platform's bound counts from the third
-constexpr std::uint32_t most_starts_after_third = 2; // a third one breaks its rule
-constexpr std::int64_t least_flap_ms = 500;          // from a worker's start to its crash by itself
-constexpr std::int64_t most_flap_ms = 6000;
-constexpr std::int64_t most_clock_step_ms = 2000; // of the time of day, back or ahead
-constexpr double kind_changes = 0.3;              // of the lives that start again
-constexpr double address_changes = 0.2;
+constexpr std::uint32_t crashes_before_limit = 3;   // the platform limits starts from the third crash on
+constexpr std::uint32_t max_starts_after_third = 2; // a third start violates the limit
+constexpr std::int64_t min_flap_ms = 500;           // from a worker's start to its next independent crash
+constexpr std::int64_t max_flap_ms = 6000;
+constexpr std::int64_t max_clock_step_ms = 2000; // step of the wall clock at a restart, in either direction
+constexpr double kind_changes = 0.3;             // share of restarts under the same id that change the size
+constexpr double address_changes = 0.2;          // share of them that change the address
 
 } // namespace
 
@@ -38,7 +38,7 @@
                        });
 }
 
-void task_world::note_crashing_start(const worker& on, const jobs::run_name& name)
+void task_world::record_crashing_start(const worker& on, const jobs::run_name& name)
 {
     const auto found = crashing_.find(name.task);
     if (found == crashing_.end())
@@ -46,11 +46,11 @@
         return;
     }
     crashing_task& task = found->second;
-    task.starts_after_third += task.crashed >= crashes_that_tell ? 1 : 0;
-    if (task.starts_after_third == most_starts_after_third + 1)
+    task.starts_after_third += task.crashed >= crashes_before_limit ? 1 : 0;
+    if (task.starts_after_third == max_starts_after_third + 1)
     {
-        broken("a start too many of a task that crashes its workers: " + name.task.job.text() + " attempt " +
-               std::to_string(name.attempt) + " on " + on.info.life.id);
+        report_violation("too many starts of a task that crashes its workers: " + name.task.job.text() +
+                         " attempt " + std::to_string(name.attempt) + " on " + on.info.life.id);
     }
     after(milliseconds(between(faults_.crash_least.count(), faults_.crash_most.count())),
           [this, id = on.info.life.id, life = on.lives, task = name.task]
@@ -78,7 +78,7 @@
     after(milliseconds(between(faults_.down_least.count(), faults_.down_most.count())),
           [this, id]
           {
-              come_back(id);
+              restart_worker(id);
           });
 }
 
@@ -122,26 +122,26 @@
     }
 }
 
-std::int64_t task_world::new_born(const worker& of)
+std::int64_t task_world::draw_start_time_ms(const worker& of)
 {
-    std::int64_t born_ms = day_ms() + between(-most_clock_step_ms, most_clock_step_ms);
-    while (of.borns.contains(born_ms))
+    std::int64_t born_ms = day_ms() + between(-max_clock_step_ms, max_clock_step_ms);
+    while (of.start_times_ms.contains(born_ms))
     {
         ++born_ms;
     }
     return born_ms;
 }
 
-void task_world::start_again(const std::string& id)
+void task_world::restart_with_same_id(const std::string& id)
 {
     worker& of = workers_.at(id);
     worker next;
     next.lives = of.lives + 1;
-    next.borns = of.borns;
+    next.start_times_ms = of.start_times_ms;
     next.info = of.info;
-    next.info.life.born_ms = new_born(of);
+    next.info.life.born_ms = draw_start_time_ms(of);
     next.info.sequence = 0;
-    next.borns.insert(next.info.life.born_ms);
+    next.start_times_ms.insert(next.info.life.born_ms);
     if (chance(kind_changes))
     {
         next.info.room.cpu_milli = chance(0.5) ? 8000 : 24'000;
@@ -151,16 +151,16 @@
         next.info.address = "addr-" + id + "-" + std::to_string(next.lives);
     }
     next.rate = chance(0.5) ? 0.98 : 1.0;
-    next.offset_ms -= clock_of(next); // its clock starts anew
+    next.offset_ms -= worker_clock_ms(next); // its clock starts at 0
     of = std::move(next);
     announce(id, of.lives);
 }
 
-void task_world::come_back(const std::string& id)
+void task_world::restart_worker(const std::string& id)
 {
     if (faults_.same_id > 0 && chance(faults_.same_id))
     {
-        start_again(id);
+        restart_with_same_id(id);
         if (flapping_.contains(id))
         {
             flap(id);
@@ -179,10 +179,10 @@
 void task_world::flap(const std::string& id)
 {
     flapping_.insert(id);
-    after(milliseconds(between(least_flap_ms, most_flap_ms)),
+    after(milliseconds(between(min_flap_ms, max_flap_ms)),
           [this, id, life = workers_.at(id).lives]
           {
-              if (faulty() && workers_.at(id).alive && workers_.at(id).lives == life)
+              if (faults_active() && workers_.at(id).alive && workers_.at(id).lives == life)
               {
                   crash(id);
               }
