--- a/tests/src/unit-owed_starts.cpp
+++ b/tests/src/unit-owed_starts.cpp
@@ -59,7 +59,7 @@
 {
     busy_load load = busy_load::of_wide_steps(1800);
     load.lasting_jobs_at_once = 0.15; // half of the fleet stays free: room isn't what tasks wait for
-    load.harm_of_fillers = 0;
+    load.filler_interference = 0;
     load.processor = processor;
     load.call_cost = std::chrono::microseconds(20); // an order, or an answer; by profile of such a leader
     busy_fleet fleet(load);
--- a/tests/world/busy_fleet.cpp
+++ b/tests/world/busy_fleet.cpp
@@ -12,11 +12,11 @@
 {
 
 constexpr auto announce_interval = milliseconds(1100);
-constexpr auto tick_interval = milliseconds(25);   // the shell's
-constexpr auto lapse_interval = milliseconds(100); // how often workers look at their leases
+constexpr auto tick_interval = milliseconds(25);   // interval of the control process
+constexpr auto lapse_interval = milliseconds(100); // interval at which workers check their leases
 constexpr auto work_interval = milliseconds(50);
 constexpr std::int64_t hold_max_ms = 6000;
-constexpr std::int64_t tail_ms = 4; // of a serving task that nothing disturbs; target 10
+constexpr std::int64_t tail_ms = 4; // tail latency of an undisturbed serving task; its target is 10
 
 double thread_seconds()
 {
@@ -49,7 +49,7 @@
     out.most_filler_tasks = 76;
     out.least_short = {4000, 3000, 0};
     out.most_short = {6400, 8000, 0};
-    out.harm_of_fillers = 6;
+    out.filler_interference = 6;
     out.filler_images = 30;
     out.serving_images = 16;
     out.lasting_jobs_per_s = 0.0011;
@@ -189,7 +189,7 @@
         return;
     }
     submit(std::move(spec), priority, objective_ms, objective_factor);
-    wanted_ = true;
+    decision_due_ = true;
 }
 
 jobs::job_spec busy_fleet::short_job()
@@ -253,7 +253,7 @@
     return spec;
 }
 
-void busy_fleet::make_work()
+void busy_fleet::submit_due_jobs()
 {
     const double passed = std::chrono::duration<double>(work_interval).count();
     const auto fleet = static_cast<double>(load_.workers);
@@ -275,7 +275,7 @@
     after(work_interval,
           [this]
           {
-              make_work();
+              submit_due_jobs();
           });
     lead();
 }
@@ -290,7 +290,7 @@
                         {
                             leader_.announced(now_, heard);
                         });
-    wanted_ = true;
+    decision_due_ = true;
     after(announce_interval,
           [this, &of]
           {
@@ -364,7 +364,7 @@
     answer_poll(on);
 }
 
-std::int64_t busy_fleet::tail_on(const worker& of) const
+std::int64_t busy_fleet::tail_latency_on(const worker& of) const
 {
     double fillers = 0;
     for (const auto& [name, task] : of.running)
@@ -372,7 +372,7 @@
         fillers += static_cast<double>(task.filler_milli);
     }
     const double share = fillers / static_cast<double>(of.info.room.cpu_milli);
-    return static_cast<std::int64_t>(static_cast<double>(tail_ms) * (1 + load_.harm_of_fillers * share));
+    return static_cast<std::int64_t>(static_cast<double>(tail_ms) * (1 + load_.filler_interference * share));
 }
 
 dispatch::worker_answer busy_fleet::list_runs(worker& of)
@@ -381,7 +381,7 @@
     out.how = dispatch::reply::done;
     out.clock_ms = clock_ms();
     out.finished = of.finished;
-    const std::int64_t tail = tail_on(of);
+    const std::int64_t tail = tail_latency_on(of);
     for (const auto& [name, task] : of.running)
     {
         const double whole = std::chrono::duration<double>(task.ends_at - task.started_at).count();
@@ -461,7 +461,7 @@
                                   {
                                       leader_.answered(now_, what, got);
                                   });
-              wanted_ = true;
+              decision_due_ = true;
               lead();
           });
 }
@@ -470,12 +470,12 @@
 
 void busy_fleet::lead()
 {
-    if (leaderless_ || lead_scheduled_ || (inbox_.empty() && !wanted_))
+    if (leaderless_ || lead_scheduled_ || (inbox_.empty() && !decision_due_))
     {
         return;
     }
     lead_scheduled_ = true;
-    const time_point decide_at = wanted_ ? pace_.next_at() : time_point::max();
+    const time_point decide_at = decision_due_ ? rate_limiter_.next_at() : time_point::max();
     at(std::max(leader_free_at_, inbox_.empty() ? decide_at : now_),
        [this]
        {
@@ -505,15 +505,15 @@
     outcome_.answers_s += took;
     const double answers_s = load_.decision_cost == duration(0) ? took : 0;
     spend(answers_s + static_cast<double>(taken) * std::chrono::duration<double>(load_.call_cost).count());
-    if (!wanted_ || now_ < pace_.next_at())
+    if (!decision_due_ || now_ < rate_limiter_.next_at())
     {
-        if (wanted_)
+        if (decision_due_)
         {
             lead();
         }
         return;
     }
-    wanted_ = false;
+    decision_due_ = false;
     ++outcome_.decisions;
     leader_.record_lateness(now_, late);
     before = thread_seconds();
@@ -536,7 +536,7 @@
     spend(cost_s +
           static_cast<double>(out.orders.size()) * std::chrono::duration<double>(load_.call_cost).count());
     leader_free_at_ = std::max(leader_free_at_, now_) + load_.decision_time;
-    pace_.record(now_, std::max(now_, leader_free_at_));
+    rate_limiter_.record(now_, std::max(now_, leader_free_at_));
     const time_point sent_at = std::max(now_, leader_free_at_);
     for (const dispatch::order& what : out.orders)
     {
@@ -564,7 +564,7 @@
                                        outcome_.record_s += thread_seconds() - begun;
                                        leader_.round_ended(now_, planned.id, answer.starts_accepted);
                                    });
-               wanted_ = true;
+               decision_due_ = true;
                lead();
            });
     }
@@ -575,7 +575,7 @@
     leaderless_ = false;
     inbox_.clear();
     leader_.lead(now_, ++term_, store_);
-    wanted_ = true;
+    decision_due_ = true;
 }
 
 void busy_fleet::lose_leader(duration at_time, duration pause)
@@ -584,7 +584,7 @@
        [this]
        {
            leaderless_ = true;
-           ++term_; // what is under way belongs to nobody
+           ++term_; // orders and answers in transit are dropped
        });
     at(start_ + at_time + pause,
        [this]
@@ -681,7 +681,7 @@
 
 void busy_fleet::tick()
 {
-    wanted_ = true;
+    decision_due_ = true;
     after(tick_interval,
           [this]
           {
@@ -714,13 +714,13 @@
     after(seconds(3),
           [this]
           {
-              make_work();
+              submit_due_jobs();
           });
-    go_on(span);
+    run_events(span);
     return outcome_;
 }
 
-void busy_fleet::go_on(duration span)
+void busy_fleet::run_events(duration span)
 {
     while (!events_.empty() && events_.top().at <= start_ + span)
     {
--- a/tests/world/busy_fleet.hpp
+++ b/tests/world/busy_fleet.hpp
@@ -1,11 +1,11 @@
 #pragma once
 
 /// @file
-/// @brief A leader with a large fleet and steady work, in virtual time that the leader's own processor
-///        time moves on: what it costs to lead, and what comes late when the processor is small.
+/// @brief Simulates a leader with a large fleet under steady load, in virtual time that advances by the
+///        processor time of the leader. It measures the cost of leading, and the delays on a slow processor.
 ///
-/// Nothing goes wrong here by itself. The dispatcher and the store are the product's own, and so is the
-/// rule for how often the leader decides.
+/// No faults are injected unless a test asks for them. The dispatcher, the store and the decision rate
+/// limiter are the production code.
 
 #include "plumspoke/dispatch/decision_rate_limiter.hpp"
 #include "plumspoke/dispatch/dispatcher.hpp"
@@ -23,15 +23,15 @@
 namespace plumspoke::test
 {
 
-/// @brief The fleet and its work. Rates are for the whole fleet.
+/// @brief Size of the fleet, its load and the costs of the leader.
 struct busy_load
 {
     std::size_t workers = 490;
-    // Jobs a second for each worker, near those of a fleet of 490: about two starts a second and worker.
+    // Jobs per second and worker, close to those of a fleet of 490: about two starts per second and worker.
     double short_jobs_per_s = 0.022;     // 1 or 2 steps of about 10 tasks of 1 s that need 2.8 processors
-    double filler_jobs_per_s = 0.04;     // 2 steps of about 20 tasks of 2.2 s that fill what others leave
-    double lasting_jobs_at_once = 0.3;   // steps of about 14 tasks that serve users of their own
-    std::uint32_t most_short_tasks = 18; // of a step
+    double filler_jobs_per_s = 0.04;     // 2 steps of about 20 filler tasks of 2.2 s
+    double lasting_jobs_at_once = 0.3;   // per worker at the start: steps of about 14 serving tasks
+    std::uint32_t most_short_tasks = 18; // per step
     std::uint32_t least_filler_tasks = 4;
     std::uint32_t most_filler_tasks = 36;
     jobs::resources least_short{1200, 3000, 0};
@@ -39,94 +39,92 @@
     std::uint32_t filler_images = 18;
     std::uint32_t serving_images = 10;
     double lasting_jobs_per_s =
-        0; // for each worker, beside those at the start: where the fleet is full they wait
-    double spread_lasting_share = 0; // of lasting steps: each task on another worker
-    double harm_of_fillers = 0;      // by how much a serving task's tail grows with a worker full of fillers
-    // Processors of the leader's VM; 0: free, the leader's own time does not move the clock.
+        0; // per worker, in addition to those at the start; they wait while the fleet is full
+    double spread_lasting_share = 0; // share of lasting steps that place each task on a different worker
+    double filler_interference = 0;  // growth of a serving task's tail latency on a worker full of fillers
+    // Processors of the leader's VM; 0: the leader's processor time does not advance the clock.
     double processor = 0;
-    // Processor time of sending an order or of reading an answer: HTTP, JSON, system calls.
+    // Processor time to send an order or to read an answer: HTTP, JSON, system calls.
     duration call_cost{0};
-    // Processor time of a decision and of each task that it starts; 0: what they take here, so runs differ.
+    // Processor time of a decision and of each task that it starts; 0: as measured, so that runs differ.
     duration decision_cost{0};
     duration start_cost{0};
-    double short_objective_factor = 2; // times the longest chain of work
+    double short_objective_factor = 2; // multiple of the critical path
     std::uint32_t short_objective_extra_ms = 250;
-    duration decision_time{0}; // that the loop is busy for, beside its processor time
+    duration decision_time{0}; // time that the loop is blocked for, in addition to its processor time
     duration order_delay = milliseconds(1);
     duration answer_delay = milliseconds(1);
-    duration commit_delay = milliseconds(15); // two syncs and a round
+    duration commit_delay = milliseconds(15); // two syncs and a round trip
     std::uint64_t seed = 1;
 
-    /// @brief Fewer jobs of wider steps, of tasks that are large against a worker: much that waits, on a
-    /// fleet
-    ///        that lasting tasks fill to nine tenths. 1.5 starts a second and worker.
+    /// @brief Fewer jobs with wider steps, whose tasks are large compared with a worker. Many tasks wait, as
+    ///        lasting tasks fill nine tenths of the fleet. 1.5 starts per second and worker.
     [[nodiscard]] static busy_load of_wide_steps(std::size_t workers);
 };
 
-/// @brief What a run of the fleet came to.
+/// @brief Counts and costs of a run.
 struct busy_outcome
 {
     std::uint64_t starts = 0;
     std::uint64_t done = 0;
-    std::uint64_t lapsed = 0; // runs whose lease ran out on the worker
+    std::uint64_t lapsed = 0; // runs whose lease expired on the worker
     std::uint64_t lasting_lapsed = 0;
-    std::uint64_t refused = 0; // jobs that the leader did not take, since it is behind
+    std::uint64_t refused = 0; // jobs that the leader rejected because of overload
     std::uint64_t decisions = 0;
     std::uint64_t polls = 0;
     double decide_s = 0;      // processor seconds in decisions
-    double answers_s = 0;     // in taking answers and announcements
-    double record_s = 0;      // in applying records
-    duration longest_wait{0}; // of an answer, until the leader took it
+    double answers_s = 0;     // processor seconds in processing answers and announcements
+    double record_s = 0;      // processor seconds in applying records
+    duration longest_wait{0}; // longest time that an answer was queued at the leader
 
-    /// @brief The leader's processor time for each start.
+    /// @brief The leader's processor time per start, in microseconds.
     [[nodiscard]] double us_per_start() const noexcept;
 
-    /// @brief The processor time that this share of the decisions didn't exceed.
+    /// @brief A quantile of the processor time of the decisions, in seconds.
     [[nodiscard]] double decision_quantile_s(double share) const;
 
-    std::vector<double> decisions_s; // each one's processor seconds
+    std::vector<double> decisions_s; // processor seconds of each decision
 };
 
-/// @brief How jobs of short tasks ended against their objective: a factor times the longest chain of work,
-/// and a
+/// @brief How jobs of short tasks met their objective, which is a multiple of the critical path plus a
 ///        constant.
 struct short_job_counts
 {
     int in_time = 0;
-    int late = 0; // within three objectives
+    int late = 0; // within three times the objective
     int missed = 0;
-    std::vector<std::int64_t> margins_ms; // objective less time taken, of those that ended
+    std::vector<std::int64_t> margins_ms; // objective minus time taken, of the jobs that ended
 
-    /// @brief The share of their worth that callers get: a late job earns 0.15 of it.
+    /// @brief The share of the jobs' full value that is earned; a late job counts 0.15.
     [[nodiscard]] double worth() const noexcept;
 };
 
-/// @brief One run of the fleet.
+/// @brief A simulation run of the fleet.
 class busy_fleet
 {
   public:
     explicit busy_fleet(busy_load load);
 
-    /// @brief Lets the fleet work for a span of virtual time.
+    /// @brief Runs the simulation for a span of virtual time.
     busy_outcome run(duration span);
 
-    /// @brief Nobody leads for a while: orders and answers under way are lost, leases lapse, and another term
-    /// begins.
+    /// @brief Leaves the fleet without a leader for `pause`: orders and answers in transit are lost, leases
+    ///        expire, and then another term begins.
     void lose_leader(duration at, duration pause);
 
-    /// @brief Calls back once, at a time of the run.
+    /// @brief Calls back once, at a time measured from the start of the run.
     void observe(duration at, std::function<void()> look);
 
-    /// @brief How jobs of short tasks that were handed in within a span of the run have ended.
+    /// @brief Counts the outcomes of the short-task jobs that were submitted within a span of the run.
     [[nodiscard]] short_job_counts count_short_jobs(duration from, duration to) const;
 
-    /// @brief Calls back with each line that the leader logs, and the time of the run.
+    /// @brief Calls back with each event that the leader logs, and its time since the start of the run.
     void listen(std::function<void(duration, const logging::event&)> reader);
 
-    /// @brief Short tasks whose turn has come and that have no run.
+    /// @brief Number of short tasks that are ready and have no run.
     [[nodiscard]] std::size_t short_tasks_waiting() const;
 
-    /// @brief Lasting tasks that have no run.
+    /// @brief Number of lasting tasks that have no run.
     [[nodiscard]] std::size_t lasting_tasks_waiting() const;
 
     [[nodiscard]] const dispatch::dispatcher& leader() const noexcept
@@ -170,7 +168,7 @@
         }
     };
 
-    void go_on(duration span);
+    void run_events(duration span);
     [[nodiscard]] std::size_t count_waiting(bool lasting) const;
     void begin_term();
     void at(time_point when, std::function<void()> what);
@@ -186,7 +184,7 @@
     void lapse(worker& on);
     void announce(worker& of);
     void tick();
-    void make_work();
+    void submit_due_jobs();
     void submit(jobs::job_spec spec,
                 std::uint32_t priority,
                 std::uint32_t objective_ms,
@@ -199,7 +197,7 @@
     [[nodiscard]] jobs::job_spec filler_job();
     [[nodiscard]] jobs::job_spec lasting_job();
     [[nodiscard]] dispatch::worker_answer list_runs(worker& of);
-    [[nodiscard]] std::int64_t tail_on(const worker& of) const;
+    [[nodiscard]] std::int64_t tail_latency_on(const worker& of) const;
     void spend(double processor_s);
     [[nodiscard]] double cost_of(const dispatch::dispatch_output& decided, double measured_s) const;
     [[nodiscard]] std::int64_t clock_ms() const;
@@ -215,20 +213,20 @@
     std::map<std::string, worker> workers_;
     jobs::store store_;
     dispatch::dispatcher leader_{dispatch::dispatch_options{}};
-    dispatch::decision_rate_limiter pace_;
-    std::deque<std::pair<time_point, std::function<void()>>> inbox_; // with the time of arrival
-    bool wanted_ = true;                                             // a decision
+    dispatch::decision_rate_limiter rate_limiter_;
+    std::deque<std::pair<time_point, std::function<void()>>> inbox_; // with the arrival time
+    bool decision_due_ = true;                                       // whether a decision is due
     bool lead_scheduled_ = false;
     bool leaderless_ = false;
     std::uint64_t term_ = 0;
     std::uint64_t next_job_ = 1;
-    /// @brief A job of short tasks that the leader took.
-    struct short_job_notes
+    /// @brief A job of short tasks that the leader accepted.
+    struct short_job_record
     {
         std::int64_t accepted_at_ms = 0;
-        std::map<std::uint32_t, std::int64_t> longest_ms; // task of each step
+        std::map<std::uint32_t, std::int64_t> longest_ms; // longest task, by step
     };
-    std::map<jobs::job_id, short_job_notes> short_jobs_;
+    std::map<jobs::job_id, short_job_record> short_jobs_;
     double short_due_ = 0;
     double filler_due_ = 0;
     double lasting_due_ = 0;
