--- a/tests/world/control_vm.cpp
+++ b/tests/world/control_vm.cpp
@@ -68,7 +68,7 @@
     node_.reset();
     waiting_.clear();
     joining_.clear();
-    start_node(); // what the disk holds; it does nothing while the process is down
+    start_node(); // restores the disk's state; the node is not driven while the process is down
 }
 
 void control_vm::restart()
@@ -146,9 +146,9 @@
 
 void control_vm::lead()
 {
-    const bool same_reign = leading_term_ == node_->term() && now() < acting_until_;
+    const bool same_leadership = leading_term_ == node_->term() && now() < acting_until_;
     acting_until_ = node_->lease_end();
-    if (!same_reign)
+    if (!same_leadership)
     {
         leading_term_ = node_->term();
         lease_manager_.reset(now());
--- a/tests/world/entry.cpp
+++ b/tests/world/entry.cpp
@@ -17,10 +17,10 @@
 
 } // namespace
 
-/// One request in an entry.
+/// A request in progress at an entry.
 struct entry_vm::live_call
 {
-    call asked;
+    call requested;
     std::uint64_t life = 0;
     std::optional<entry::request_flow> flow;
     entry::service_pointer state;
@@ -39,7 +39,7 @@
 {
     for (const std::shared_ptr<bool>& abandoned : connections_)
     {
-        *abandoned = true; // its sockets are reset with it
+        *abandoned = true; // the sockets are reset when the process is killed
     }
     connections_.clear();
     table_.reset();
@@ -154,26 +154,26 @@
     }
 }
 
-void entry_vm::request(const call& asked, std::function<void(entry::outcome)> done)
+void entry_vm::request(const call& requested, std::function<void(entry::outcome)> done)
 {
     if (!running() || stopping_)
     {
-        return; // the balancer would not have sent it here
+        return; // the load balancer would not route the request here
     }
     auto live = std::make_shared<live_call>();
-    live->asked = asked;
+    live->requested = requested;
     live->life = life;
     live->done = std::move(done);
-    live->flow.emplace(asked.safe, max_attempts, now() + asked.deadline);
+    live->flow.emplace(requested.safe, max_attempts, now() + requested.deadline);
     ++in_flight_;
-    const entry::service_route* route = table_ == nullptr ? nullptr : table_->find(asked.service);
+    const entry::service_route* route = table_ == nullptr ? nullptr : table_->find(requested.service);
     if (route == nullptr || !serving())
     {
         answer(live, entry::outcome::not_run);
         return;
     }
     live->state = route->state;
-    if (asked.key.empty())
+    if (requested.key.empty())
     {
         attempt(live);
         return;
@@ -193,54 +193,55 @@
         return;
     }
     control::begin_claim value;
-    value.service = live->asked.service;
-    value.key = live->asked.key;
+    value.service = live->requested.service;
+    value.key = live->requested.key;
     value.digest = "same";
-    value.entry = live->asked.id;
-    value.deadline_ms = std::chrono::duration_cast<milliseconds>(live->asked.deadline).count();
+    value.entry = live->requested.id;
+    value.deadline_ms = std::chrono::duration_cast<milliseconds>(live->requested.deadline).count();
     control_vm& target = *world_.control_vms()[target_++ % world_.control_vms().size()];
-    world_.send(*this,
-                target,
-                [this, live, value, &target]
+    world_.send(
+        *this,
+        target,
+        [this, live, value, &target]
+        {
+            target.propose(
+                value,
+                [this, live, &target](std::error_code error, const control::command_answer& command_result)
                 {
-                    target.propose(
-                        value,
-                        [this, live, &target](std::error_code error, const control::command_answer& told)
-                        {
-                            if (error)
-                            {
-                                return;
-                            }
-                            world_.send(target,
-                                        *this,
-                                        [this, live, told]
-                                        {
-                                            if (live->life != life || live->answered || live->claimed)
-                                            {
-                                                return;
-                                            }
-                                            const control::claim found = told.detail.get<control::claim>();
-                                            switch (found.state)
-                                            {
-                                            case control::claim_state::granted:
-                                                live->claimed = true;
-                                                live->claim = found.id;
-                                                attempt(live);
-                                                return;
-                                            case control::claim_state::done:
-                                                answer(live, entry::outcome::done);
-                                                return;
-                                            case control::claim_state::mismatch:
-                                            case control::claim_state::refused:
-                                                answer(live, entry::outcome::not_run);
-                                                return;
-                                            default:
-                                                answer(live, entry::outcome::unknown);
-                                                return;
-                                            }
-                                        });
-                        });
+                    if (error)
+                    {
+                        return;
+                    }
+                    world_.send(target,
+                                *this,
+                                [this, live, command_result]
+                                {
+                                    if (live->life != life || live->answered || live->claimed)
+                                    {
+                                        return;
+                                    }
+                                    const control::claim found = command_result.detail.get<control::claim>();
+                                    switch (found.state)
+                                    {
+                                    case control::claim_state::granted:
+                                        live->claimed = true;
+                                        live->claim = found.id;
+                                        attempt(live);
+                                        return;
+                                    case control::claim_state::done:
+                                        answer(live, entry::outcome::done);
+                                        return;
+                                    case control::claim_state::mismatch:
+                                    case control::claim_state::refused:
+                                        answer(live, entry::outcome::not_run);
+                                        return;
+                                    default:
+                                        answer(live, entry::outcome::unknown);
+                                        return;
+                                    }
+                                });
                 });
+        });
     world_.after(milliseconds(200),
                  [this, live]
                  {
@@ -266,7 +267,7 @@
                   });
         return;
     }
-    const entry::service_route* route = table_ == nullptr ? nullptr : table_->find(live->asked.service);
+    const entry::service_route* route = table_ == nullptr ? nullptr : table_->find(live->requested.service);
     if (route == nullptr || !serving() || now() >= live->flow->deadline())
     {
         answer(live, live->flow->outcome_if_abandoned());
@@ -294,7 +295,7 @@
                 [this, live, target, endpoint, abandoned, ended, delivered = std::make_shared<bool>(false)]
                 {
                     endpoint->serve(
-                        live->asked,
+                        live->requested,
                         abandoned,
                         delivered,
                         [this, live, target, endpoint, ended](int status)
@@ -305,7 +306,7 @@
                                         {
                                             if (*ended)
                                             {
-                                                return; // late: its connection is closed
+                                                return; // late answer: the connection is already closed
                                             }
                                             *ended = true;
                                             entry::attempt_result end;
@@ -348,7 +349,8 @@
                   }
                   if (!running() || now() < live->flow->deadline())
                   {
-                      time_out(live, target, abandoned, ended); // it was frozen, or its clock is slow
+                      time_out(
+                          live, target, abandoned, ended); // the process was frozen, or its clock is slow
                       return;
                   }
                   *ended = true;
@@ -370,7 +372,7 @@
     }
     if (end.error)
     {
-        target->slots().schedule_release(now() + 2 * live->asked.deadline);
+        target->slots().schedule_release(now() + 2 * live->requested.deadline);
         target->record_failure(now(), true);
     }
     else
@@ -393,15 +395,15 @@
     answer(live, std::get<entry::abandon_request>(decided).reported);
 }
 
-void entry_vm::record_claim(const std::shared_ptr<live_call>& live, entry::outcome told)
+void entry_vm::record_claim(const std::shared_ptr<live_call>& live, entry::outcome reported_outcome)
 {
     control::finish_claim value;
-    value.service = live->asked.service;
-    value.key = live->asked.key;
+    value.service = live->requested.service;
+    value.key = live->requested.key;
     value.id = live->claim;
-    value.state = told == entry::outcome::done      ? control::claim_state::done
-                  : told == entry::outcome::not_run ? control::claim_state::granted
-                                                    : control::claim_state::unknown;
+    value.state = reported_outcome == entry::outcome::done      ? control::claim_state::done
+                  : reported_outcome == entry::outcome::not_run ? control::claim_state::granted
+                                                                : control::claim_state::unknown;
     for (const auto& vm : world_.control_vms())
     {
         world_.send(*this,
@@ -413,7 +415,7 @@
     }
 }
 
-void entry_vm::answer(const std::shared_ptr<live_call>& live, entry::outcome told)
+void entry_vm::answer(const std::shared_ptr<live_call>& live, entry::outcome reported_outcome)
 {
     if (live->answered || live->life != life)
     {
@@ -423,17 +425,17 @@
     --in_flight_;
     if (live->claimed)
     {
-        record_claim(live, told);
+        record_claim(live, reported_outcome);
     }
-    truth& facts = world_.facts;
-    const bool ran = facts.endpoint_runs.contains(live->asked.id);
-    facts.check(told != entry::outcome::not_run || !ran,
-                "not_run_is_true: " + live->asked.id + " was told not run, but it ran");
-    const bool keyed_ran = !live->asked.key.empty() && facts.keyed_runs.contains(live->asked.key);
-    facts.check(told != entry::outcome::done || ran || keyed_ran,
-                "answer_to_own_caller: " + live->asked.id + " was told done, but never ran");
-    facts.told[live->asked.id] = told;
-    live->done(told);
+    ground_truth& facts = world_.facts;
+    const bool ran = facts.endpoint_runs.contains(live->requested.id);
+    facts.check(reported_outcome != entry::outcome::not_run || !ran,
+                "not_run_is_true: " + live->requested.id + " was told not run, but it ran");
+    const bool keyed_ran = !live->requested.key.empty() && facts.keyed_runs.contains(live->requested.key);
+    facts.check(reported_outcome != entry::outcome::done || ran || keyed_ran,
+                "answer_to_own_caller: " + live->requested.id + " was told done, but never ran");
+    facts.reported_outcomes[live->requested.id] = reported_outcome;
+    live->done(reported_outcome);
 }
 
 } // namespace plumspoke::world
--- a/tests/world/flow_checks.cpp
+++ b/tests/world/flow_checks.cpp
@@ -13,10 +13,10 @@
 constexpr auto heal_limit = seconds(25);
 constexpr auto poll = milliseconds(20);
 
-thread_local truth* watched = nullptr;
+thread_local ground_truth* watched = nullptr;
 
-/// A broken invariant inside the product counts as a violation instead of ending the test.
-void note_broken(error::invariant which, const char* where)
+/// Records a violated internal invariant as a violation of the run instead of ending the test.
+void record_violated_invariant(error::invariant which, const char* where)
 {
     if (watched != nullptr)
     {
@@ -74,7 +74,7 @@
                                         return self.acting_leader() != nullptr;
                                     }),
                      "no leader at the start");
-    change(self, "first", first_intent(), 0);
+    change_configuration(self, "first", first_intent(), 0);
     self.facts.check(self.run_until(settle_limit,
                                     [&self]
                                     {
@@ -84,7 +84,7 @@
     self.run_for(milliseconds(500));
 }
 
-void watch(world& self)
+void check_invariants(world& self)
 {
     int acting = 0;
     for (const auto& vm : self.control_vms())
@@ -111,22 +111,22 @@
     self.after(poll,
                [&self]
                {
-                   watch(self);
+                   check_invariants(self);
                });
 }
 
 void tear_down(world& self)
 {
     self.heal();
-    const auto well = [&self]
+    const auto is_recovered = [&self]
     {
         const control_vm* leader = self.acting_leader();
         return leader != nullptr && all_finished(self) && leader->consensus().members().voter_count() == 3 &&
                leader->consensus().members().members.size() == 3;
     };
-    const bool recovered = self.run_until(heal_limit, well);
+    const bool recovered = self.run_until(heal_limit, is_recovered);
     self.run_for(seconds(2));
-    (void)self.run_until(heal_limit, well); // an acceptance may have come late
+    (void)self.run_until(heal_limit, is_recovered); // a command may have been accepted late
     const control_vm* leader = self.acting_leader();
     self.facts.check(recovered && leader != nullptr, "it did not recover after the faults had ended");
     if (leader == nullptr)
@@ -162,9 +162,9 @@
             if (entry->serving())
             {
                 entry->request(last,
-                               [&answered](entry::outcome told)
+                               [&answered](entry::outcome reported_outcome)
                                {
-                                   answered = answered || told == entry::outcome::done;
+                                   answered = answered || reported_outcome == entry::outcome::done;
                                });
                 return;
             }
@@ -178,13 +178,13 @@
     self.facts.check(answered, "no request is answered after the faults had ended");
 }
 
-invariant_watch::invariant_watch(truth& facts) noexcept
+invariant_recorder::invariant_recorder(ground_truth& facts) noexcept
 {
     watched = &facts;
-    error::set_invariant_handler(&note_broken);
+    error::set_invariant_handler(&record_violated_invariant);
 }
 
-invariant_watch::~invariant_watch()
+invariant_recorder::~invariant_recorder()
 {
     error::set_invariant_handler(nullptr);
     watched = nullptr;
--- a/tests/world/flow_checks.hpp
+++ b/tests/world/flow_checks.hpp
@@ -1,31 +1,32 @@
 #pragma once
 
 /// @file
-/// @brief The checks around each flow: before its faults, at every moment, and after all have ended.
+/// @brief The checks of each flow: before its faults, periodically during the run, and after all faults.
 
 #include "world.hpp"
 
 namespace plumspoke::world
 {
 
-/// Until a leader acts and slots are granted; then `arm` may follow.
+/// Runs until a leader acts and slots are granted. Call before `arm`.
 void set_up(world& self);
 
-/// Checks that hold at every moment, whatever happens.
-void watch(world& self);
+/// Starts the periodic check of the invariants that hold under all faults.
+void check_invariants(world& self);
 
-/// After the faults: everything works again, and nothing that was accepted is gone.
+/// Ends the faults and checks that the system recovers and that nothing that was accepted is lost.
 void tear_down(world& self);
 
-/// While it lives, a broken invariant inside the product counts as a violation instead of ending the test.
-/// @note One at a time on a thread.
-class invariant_watch
+/// Records a violated internal invariant of the production code as a violation of the run, instead of ending
+/// the test, during its lifetime.
+/// @note At most one object per thread at a time.
+class invariant_recorder
 {
   public:
-    explicit invariant_watch(truth& facts) noexcept;
-    invariant_watch(const invariant_watch&) = delete;
-    invariant_watch& operator=(const invariant_watch&) = delete;
-    ~invariant_watch();
+    explicit invariant_recorder(ground_truth& facts) noexcept;
+    invariant_recorder(const invariant_recorder&) = delete;
+    invariant_recorder& operator=(const invariant_recorder&) = delete;
+    ~invariant_recorder();
 };
 
 } // namespace plumspoke::world
--- a/tests/world/flow_commands.cpp
+++ b/tests/world/flow_commands.cpp
@@ -13,16 +13,16 @@
     spec.team = "judge";
     spec.work_class = "marking";
     spec.declared = {1000, 1000, 0};
-    spec.max_attempts = 20; // failures by the faults themselves must not use it up
+    spec.max_attempts = 20; // injected faults must not exhaust it
     return spec;
 }
 
 } // namespace
 
-void change(world& self,
-            const std::string& request,
-            const control::intent_document& intent,
-            std::uint64_t based_on)
+void change_configuration(world& self,
+                          const std::string& request,
+                          const control::intent_document& intent,
+                          std::uint64_t based_on)
 {
     control::make_plan plan;
     plan.request = request;
@@ -40,12 +40,12 @@
                     confirm.request = request + ".confirm";
                     confirm.plan = made.id;
                     self.submit(confirm,
-                                [&self](std::error_code, const control::command_answer& told)
+                                [&self](std::error_code, const control::command_answer& command_result)
                                 {
-                                    if (told.accepted())
+                                    if (command_result.accepted())
                                     {
                                         self.facts.accepted_version =
-                                            std::max(self.facts.accepted_version, told.version);
+                                            std::max(self.facts.accepted_version, command_result.version);
                                     }
                                 });
                 });
@@ -54,9 +54,9 @@
 void submit_job(world& self, const std::string& id)
 {
     self.submit(control::submit_job{make_job(id)},
-                [&self, id](std::error_code, const control::command_answer& told)
+                [&self, id](std::error_code, const control::command_answer& command_result)
                 {
-                    if (told.accepted())
+                    if (command_result.accepted())
                     {
                         self.facts.accepted_jobs.insert(id);
                     }
--- a/tests/world/flow_commands.hpp
+++ b/tests/world/flow_commands.hpp
@@ -1,20 +1,20 @@
 #pragma once
 
 /// @file
-/// @brief What operators ask of the world in the flows; each notes in `facts` what was accepted.
+/// @brief Operator commands of the flows. Each records in `facts` what was accepted.
 
 #include "world.hpp"
 
 namespace plumspoke::world
 {
 
-/// Makes a plan of `intent` and confirms it.
-void change(world& self,
-            const std::string& request,
-            const control::intent_document& intent,
-            std::uint64_t based_on);
+/// Creates a plan from `intent` and confirms it.
+void change_configuration(world& self,
+                          const std::string& request,
+                          const control::intent_document& intent,
+                          std::uint64_t based_on);
 
-/// Hands in a job of the team that set_up declares.
+/// Submits a job of the team that `set_up` declares.
 void submit_job(world& self, const std::string& id);
 
 /// Whether a leader may act and every accepted job has ended.
--- a/tests/world/flows.cpp
+++ b/tests/world/flows.cpp
@@ -28,21 +28,22 @@
 
 void send_requests(world& self, const std::string& service, bool safe, int count)
 {
-    // One endpoint hangs past the deadline, the others take long enough to be killed in the middle.
+    // One endpoint answers after the deadline; the others take long enough to be killed during a request.
     for (const auto& one : self.workers())
     {
         one->answer_time = one->name() == "w1" ? milliseconds(2200) : milliseconds(100);
     }
     for (int i = 0; i < count; ++i)
     {
-        call asked;
-        asked.id = service + std::to_string(i);
-        asked.service = service;
-        asked.safe = safe;
+        call requested;
+        requested.id = service + std::to_string(i);
+        requested.service = service;
+        requested.safe = safe;
         self.after(milliseconds(80 * i),
-                   [&self, asked, i]
+                   [&self, requested, i]
                    {
-                       self.entries()[static_cast<std::size_t>(i) % 2]->request(asked, [](entry::outcome) {});
+                       self.entries()[static_cast<std::size_t>(i) % 2]->request(requested,
+                                                                                [](entry::outcome) {});
                    });
     }
     self.run_for(milliseconds(5000));
@@ -66,16 +67,17 @@
 {
     for (int i = 0; i < 6; ++i)
     {
-        call asked;
-        asked.id = "keyed" + std::to_string(i);
-        asked.service = "sync";
-        asked.key =
-            i < 4 ? "rug-17" : "rug-18"; // resent by a caller that saw no answer, through both entries
-        asked.safe = false;
+        call requested;
+        requested.id = "keyed" + std::to_string(i);
+        requested.service = "sync";
+        requested.key =
+            i < 4 ? "rug-17" : "rug-18"; // the caller got no answer and retries through both entries
+        requested.safe = false;
         self.after(milliseconds(400 * i),
-                   [&self, asked, i]
+                   [&self, requested, i]
                    {
-                       self.entries()[static_cast<std::size_t>(i) % 2]->request(asked, [](entry::outcome) {});
+                       self.entries()[static_cast<std::size_t>(i) % 2]->request(requested,
+                                                                                [](entry::outcome) {});
                    });
     }
     self.run_for(milliseconds(4000));
@@ -91,7 +93,8 @@
 
 void job(world& self)
 {
-    set_task_time(self, milliseconds(2500)); // longer than a lease: a cut-off worker is still at it
+    set_task_time(self,
+                  milliseconds(2500)); // longer than a lease, so a partitioned worker is still running it
     submit_job(self, "marking-1");
     submit_job(self, "marking-2");
     (void)self.run_until(flow_limit,
@@ -164,8 +167,8 @@
     one.teams.push_back({"one", {1000, 1000, 0}});
     control::intent_document other;
     other.teams.push_back({"other", {1000, 1000, 0}});
-    change(self, "operator-one", one, 1);
-    change(self, "operator-other", other, 1);
+    change_configuration(self, "operator-one", one, 1);
+    change_configuration(self, "operator-other", other, 1);
     (void)self.run_until(flow_limit,
                          [&self]
                          {
@@ -184,16 +187,16 @@
 
 void planned_stop(world& self)
 {
-    auto told = std::make_shared<int>(0);
+    auto answered_count = std::make_shared<int>(0);
     for (int i = 0; i < 4; ++i)
     {
-        call asked;
-        asked.id = "stop" + std::to_string(i);
-        asked.service = "quick";
-        self.entries()[0]->request(asked,
-                                   [told](entry::outcome)
+        call requested;
+        requested.id = "stop" + std::to_string(i);
+        requested.service = "quick";
+        self.entries()[0]->request(requested,
+                                   [answered_count](entry::outcome)
                                    {
-                                       ++*told;
+                                       ++*answered_count;
                                    });
     }
     const std::uint64_t life = self.entries()[0]->life;
@@ -207,14 +210,14 @@
                          {
                              return self.entries()[0]->stopped();
                          });
-    self.facts.check(self.entries()[0]->life != life || *told == 4,
+    self.facts.check(self.entries()[0]->life != life || *answered_count == 4,
                      "stop_cuts_nothing: a request had no answer");
     self.facts.check(self.entries()[0]->life != life || self.entries()[0]->stopped(),
                      "the entry never stopped");
     self.entries()[0]->restart();
 }
 
-/// Kills a control VM, which starts again after `span`, with an empty disk where `disk_lost`.
+/// Kills a control VM and restarts it after `span`, with an empty disk if `disk_lost`.
 void stop_for(world& self, control_vm& victim, duration span, bool disk_lost)
 {
     victim.up = false;
@@ -247,12 +250,12 @@
     {
         return;
     }
-    // A second VM is lost right after the repair; what was acknowledged before must still be there.
+    // A second VM is lost right after the repair. What was acknowledged before must still be stored.
     submit_job(self, "after-repair");
     self.run_for(milliseconds(150));
-    if (!self.replicas_whole())
+    if (!self.replicas_healthy())
     {
-        return; // the fault under test has taken it already: one more would be a lost majority
+        return; // the injected fault has already hit a replica; losing another one would lose the majority
     }
     stop_for(self, *self.control_vms()[1], milliseconds(400), true);
     self.run_for(milliseconds(2500));
@@ -326,9 +329,9 @@
     options.first = first;
     options.second = second;
     world self(options);
-    const invariant_watch noted(self.facts);
+    const invariant_recorder noted(self.facts);
     set_up(self);
-    watch(self);
+    check_invariants(self);
     self.arm();
     find_flow(flow)(self);
     const std::uint64_t steps = self.steps();
@@ -342,23 +345,23 @@
     options.seed = seed;
     options.random_faults = fault_chance;
     world self(options);
-    const invariant_watch noted(self.facts);
+    const invariant_recorder noted(self.facts);
     set_up(self);
-    watch(self);
+    check_invariants(self);
     self.arm();
     const std::int64_t end = self.true_us() + span.count();
     for (int round = 0; self.true_us() < end; ++round)
     {
         const std::string number = std::to_string(round);
-        call asked;
-        asked.id = "r" + number;
-        asked.safe = self.chance(0.5);
-        asked.service = asked.safe ? "quick" : "sync";
-        if (!asked.safe && self.chance(0.5))
+        call requested;
+        requested.id = "r" + number;
+        requested.safe = self.chance(0.5);
+        requested.service = requested.safe ? "quick" : "sync";
+        if (!requested.safe && self.chance(0.5))
         {
-            asked.key = "key" + std::to_string(round / 4);
+            requested.key = "key" + std::to_string(round / 4);
         }
-        self.entries()[self.random() % self.entries().size()]->request(asked, [](entry::outcome) {});
+        self.entries()[self.random() % self.entries().size()]->request(requested, [](entry::outcome) {});
         if (round % 5 == 0)
         {
             submit_job(self, "job" + number);
@@ -372,7 +375,7 @@
         {
             control::intent_document intent;
             intent.teams.push_back({"team" + number, {1000, 1000, 0}});
-            change(self, "operator" + number, intent, self.facts.accepted_version);
+            change_configuration(self, "operator" + number, intent, self.facts.accepted_version);
         }
         self.run_for(milliseconds(static_cast<std::int64_t>(20 + self.random() % 200)));
     }
--- a/tests/world/worker.cpp
+++ b/tests/world/worker.cpp
@@ -28,7 +28,7 @@
     lease_end_ = time_point{};
     for (const std::function<void()>& reset : std::exchange(connections_, {}))
     {
-        world_.after(milliseconds(1), reset); // its sockets are reset with it
+        world_.after(milliseconds(1), reset); // the sockets are reset when the process is killed
     }
     world_.facts.endpoint_busy[name()] = 0;
 }
@@ -46,7 +46,7 @@
     last_true_us_ = world_.true_us();
     if (now() >= lease_end_)
     {
-        // Also the first thing after a freeze: nothing runs on without a lease.
+        // Checked first, also after a freeze, so that no task continues without a lease.
         for (auto& [token, task] : tasks_)
         {
             if (!task.report.ended())
@@ -98,7 +98,7 @@
     }
     const time_point sent_at = now();
     const std::uint64_t sequence = sequence_;
-    // Any of them may lead; the others say so at once, which costs nothing here.
+    // Any control VM may be the leader. The others reject the report, which costs nothing here.
     for (const auto& vm : world_.control_vms())
     {
         world_.send(*this,
@@ -114,8 +114,7 @@
                                     *this,
                                     [this, reply, sent_at, sequence]
                                     {
-                                        if (sequence ==
-                                            sequence_) // an answer to an older report grants nothing
+                                        if (sequence == sequence_) // answers to older reports are ignored
                                         {
                                             take(reply, sent_at);
                                         }
@@ -170,7 +169,7 @@
     }
 }
 
-void worker::serve(const call& asked,
+void worker::serve(const call& requested,
                    const std::shared_ptr<bool>& abandoned,
                    const std::shared_ptr<bool>& delivered,
                    std::function<void(int)> answer,
@@ -178,23 +177,24 @@
 {
     if (*abandoned)
     {
-        return; // its connection was reset before it was read
+        return; // the connection was reset before the request was read
     }
     if (std::exchange(*delivered, true))
     {
-        return; // TCP hands a connection's request over once, whatever the network doubles
+        return; // TCP delivers a request once, even if the simulated network duplicates the message
     }
     connections_.push_back(std::move(reset));
-    truth& facts = world_.facts;
-    const int runs = ++facts.endpoint_runs[asked.id];
-    const auto told = facts.told.find(asked.id);
-    facts.check(told == facts.told.end() || told->second != entry::outcome::not_run,
-                "not_run_is_true: " + asked.id + " ran after its caller was told that it did not");
-    facts.check(asked.safe || runs <= 1, "unsafe_at_most_once: " + asked.id + " ran twice");
-    if (!asked.key.empty())
+    ground_truth& facts = world_.facts;
+    const int runs = ++facts.endpoint_runs[requested.id];
+    const auto reported_outcome = facts.reported_outcomes.find(requested.id);
+    facts.check(reported_outcome == facts.reported_outcomes.end() ||
+                    reported_outcome->second != entry::outcome::not_run,
+                "not_run_is_true: " + requested.id + " ran after its caller was told that it did not");
+    facts.check(requested.safe || runs <= 1, "unsafe_at_most_once: " + requested.id + " ran twice");
+    if (!requested.key.empty())
     {
-        const int keyed = ++facts.keyed_runs[asked.key];
-        facts.check(keyed <= 1, "unsafe_at_most_once: the key " + asked.key + " ran twice");
+        const int keyed = ++facts.keyed_runs[requested.key];
+        facts.check(keyed <= 1, "unsafe_at_most_once: the key " + requested.key + " ran twice");
     }
     int& busy = facts.endpoint_busy[name()];
     ++busy;
--- a/tests/world/world.cpp
+++ b/tests/world/world.cpp
@@ -9,8 +9,9 @@
 {
 
 constexpr std::int64_t tick_us = 20'000;
-constexpr std::int64_t shortest_way_us = 500; // one way between availability zones, by the brief
-constexpr std::int64_t way_spread_us = 500;
+constexpr std::int64_t min_one_way_delay_us =
+    500; // one way between availability zones, from the requirements
+constexpr std::int64_t one_way_delay_spread_us = 500;
 constexpr std::int64_t late_us = 2'000'000;
 constexpr std::int64_t reordered_us = 30'000;
 constexpr auto submit_retry = milliseconds(300);
@@ -51,7 +52,7 @@
     return clock.at(world_.true_us());
 }
 
-void truth::check(bool holds, const std::string& what)
+void ground_truth::check(bool holds, const std::string& what)
 {
     ++checks;
     if (!holds)
@@ -63,7 +64,7 @@
 namespace
 {
 
-/// The operators' desk: it never fails, but its messages do.
+/// The operators' client. It never fails, but its messages may be lost.
 class operator_vm final : public process
 {
   public:
@@ -193,10 +194,10 @@
     {
         return;
     }
-    const fault struck = fault_at_step();
-    std::int64_t way = shortest_way_us + static_cast<std::int64_t>(random_() % way_spread_us);
+    const fault injected = fault_at_step();
+    std::int64_t way = min_one_way_delay_us + static_cast<std::int64_t>(random_() % one_way_delay_spread_us);
     int copies = 1;
-    switch (struck)
+    switch (injected)
     {
     case fault::message_lost:
         return;
@@ -210,7 +211,7 @@
         copies = 2;
         break;
     default:
-        strike(struck, to, from);
+        inject(injected, to, from);
         break;
     }
     const auto cut_until = cuts_.find({from.name(), to.name()});
@@ -228,12 +229,12 @@
     {
         if (!to.up || to.life != life)
         {
-            return; // what was on its way to a process that died is gone with its sockets
+            return; // messages in transit to a killed process are lost with its sockets
         }
         if (true_us_ < to.frozen_until_us)
         {
-            // It waits in the socket until the process thaws.
-            at(to.frozen_until_us + shortest_way_us,
+            // The message stays in the socket buffer until the process resumes.
+            at(to.frozen_until_us + min_one_way_delay_us,
                [again = arrive_weak.lock()]
                {
                    (*again)();
@@ -249,7 +250,7 @@
            {
                (*arrive)();
            });
-        way += shortest_way_us;
+        way += min_one_way_delay_us;
     }
 }
 
@@ -291,7 +292,7 @@
     return nullptr;
 }
 
-/// One command until it is answered.
+/// Retry state of a command that is not answered yet.
 struct world::retry_state
 {
     control::command value;
@@ -325,7 +326,7 @@
                  {
                      if (error)
                      {
-                         return; // not the leader, or not known: asked again
+                         return; // not the leader, or outcome unknown: retried
                      }
                      send(target,
                           *operator_,
--- a/tests/world/world.hpp
+++ b/tests/world/world.hpp
@@ -1,7 +1,8 @@
 #pragma once
 
-// A small world in virtual time around the real decisions: replicas with fake disks, workers, entries with
-// endpoints, operators. It has no threads and no clock; the same seed and fault give the same run.
+// Deterministic simulation, in virtual time, of replicas with simulated disks, workers, entries with
+// endpoints, and operators around the production decision code. It uses no threads and no real clock; the
+// same seed and faults give the same run.
 
 #include "plumspoke/control/claim_expiry.hpp"
 #include "plumspoke/control/policy.hpp"
@@ -42,20 +43,20 @@
 inline constexpr std::size_t fault_count = 15;
 [[nodiscard]] std::string_view to_string(fault kind) noexcept;
 
-/// One fault at one step. A step is a message handed to the network, or a sync.
+/// A fault to inject at one step. A step is the sending of a message, or a sync.
 struct planned_fault
 {
     fault kind = fault::none;
     std::uint64_t step = 0;
 };
 
-/// A process's own clock: it may run fast or slow, and jump.
+/// The local clock of a process, which may run fast or slow, and jump.
 struct local_clock
 {
     double rate = 1;
     std::int64_t offset_us = 0;
-    std::int64_t since_us = 0; // of the true time at which rate and offset took hold
-    std::int64_t base_us = 0;  // what the clock showed then
+    std::int64_t since_us = 0; // true time at which `rate` was set
+    std::int64_t base_us = 0;  // reading of the clock at that time, without the offset
 
     [[nodiscard]] time_point at(std::int64_t true_us) const noexcept;
     void set_rate(std::int64_t true_us, double new_rate) noexcept;
@@ -64,7 +65,7 @@
 
 class world;
 
-/// What can be killed, frozen, cut off and given a strange clock.
+/// A simulated process that can be killed, frozen, partitioned or given a faulty clock.
 class process
 {
   public:
@@ -74,7 +75,7 @@
     virtual ~process() = default;
 
     virtual void tick() = 0;
-    virtual void kill() = 0; // all that is not on a disk is gone
+    virtual void kill() = 0; // loses all state that is not on disk
     virtual void restart() = 0;
 
     [[nodiscard]] const std::string& name() const noexcept
@@ -86,7 +87,7 @@
 
     bool up = true;
     std::int64_t frozen_until_us = 0;
-    std::uint64_t life = 1; // grows with each restart; what was sent to an earlier life is lost
+    std::uint64_t life = 1; // grows with each kill; messages to an earlier life are dropped
     local_clock clock;
 
   protected:
@@ -96,15 +97,15 @@
     std::string name_;
 };
 
-/// What the world itself knows to be true, against which each claim is held.
-struct truth
+/// The actual events of the simulation, against which the claims of the processes are checked.
+struct ground_truth
 {
-    std::map<std::string, std::uint64_t> newest_progress; // job to the highest token that made progress
-    std::map<std::string, int> endpoint_runs;             // request to how often an endpoint ran it
-    std::map<std::string, int> keyed_runs;                // key to the same
-    std::map<std::string, entry::outcome> told;           // request to what its caller was told
-    std::map<std::string, int> endpoint_busy;             // worker to requests that run there now
-    std::uint64_t accepted_version = 0;                   // highest version that an operator was told of
+    std::map<std::string, std::uint64_t> newest_progress;    // by job: highest token that made progress
+    std::map<std::string, int> endpoint_runs;                // by request: number of runs at endpoints
+    std::map<std::string, int> keyed_runs;                   // by idempotency key: number of runs
+    std::map<std::string, entry::outcome> reported_outcomes; // by request: outcome that its caller got
+    std::map<std::string, int> endpoint_busy;                // by worker: requests in progress
+    std::uint64_t accepted_version = 0;                      // highest version acknowledged to an operator
     std::set<std::string> accepted_jobs;
     std::vector<std::string> violations;
     std::uint64_t checks = 0;
@@ -117,7 +118,7 @@
 class worker;
 class entry_vm;
 
-/// Who answers an operator's command: an answer, or an error where the outcome is not known.
+/// Receives the answer to an operator's command, or an error if the outcome is unknown.
 using command_callback = std::function<void(std::error_code, const control::command_answer&)>;
 
 struct world_options
@@ -128,8 +129,8 @@
     std::size_t entries = 2;
     std::size_t snapshot_interval = 40;
     planned_fault first;
-    planned_fault second;     // its step is counted from the first fault on
-    double random_faults = 0; // chance of a fault at each step, for random runs
+    planned_fault second;     // its step is counted from the first fault
+    double random_faults = 0; // probability of a fault at each step, for random runs
 };
 
 class world
@@ -148,30 +149,30 @@
     void at(std::int64_t true_us, std::function<void()> action);
     void after(duration delay, std::function<void()> action);
     void run_for(duration span);
-    /// Runs until the condition holds; false where it did not within the span.
+    /// Runs until the condition holds. Returns false if it did not hold within the span.
     [[nodiscard]] bool run_until(duration span, const std::function<bool()>& holds);
 
     // ---- network and faults
-    /// Hands a message to the network: a step at which a fault may strike.
+    /// Sends a message. This is a step at which a fault may be injected.
     void send(process& from, process& to, std::function<void()> deliver);
-    /// A sync is a step too. False: the process was killed before it.
+    /// Counts a sync as a step. Returns false if the process was killed before the sync.
     [[nodiscard]] bool sync_survived(control_vm& vm);
-    /// True: the process is to be killed right after the sync.
+    /// Returns true if the process was killed right after the sync.
     [[nodiscard]] bool killed_after_sync(control_vm& vm);
     void cut(const std::string& from, const std::string& to, duration span);
     [[nodiscard]] std::uint64_t steps() const noexcept
     {
         return steps_;
     }
-    /// Faults strike from here on; steps are counted from here.
+    /// Enables fault injection and resets the step counter.
     void arm() noexcept;
     void disarm() noexcept
     {
         armed_ = false;
     }
-    /// Whether all replicas are up, voters, and have all that is committed.
-    [[nodiscard]] bool replicas_whole();
-    /// Ends all faults: everything runs, links are whole.
+    /// Whether all replicas are up, are voters and have all committed entries.
+    [[nodiscard]] bool replicas_healthy();
+    /// Ends fault injection, partitions, freezes and clock drift.
     void heal();
 
     // ---- processes
@@ -195,8 +196,8 @@
     [[nodiscard]] control_vm* find_member(const replica::member_id& id);
     [[nodiscard]] worker* find_worker(const std::string& name);
 
-    /// Sends a command as an operator does: to each control VM in turn until one answers.
-    /// Repeats it, so the command must be safe to resend.
+    /// Sends a command to each control VM in turn until one answers, as an operator does.
+    /// The command is retried, so it must be idempotent.
     void submit(const control::command& value, command_callback done);
 
     [[nodiscard]] std::uint64_t random() noexcept
@@ -209,7 +210,7 @@
         return options_;
     }
 
-    truth facts;
+    ground_truth facts;
 
   private:
     struct event
@@ -226,7 +227,7 @@
     struct retry_state;
 
     [[nodiscard]] fault fault_at_step();
-    void strike(fault kind, process& victim, process& other);
+    void inject(fault kind, process& victim, process& other);
     void kill_for(process& victim, duration span, bool lose_disk);
     void tick_all();
     void try_submit(const std::shared_ptr<retry_state>& state);
@@ -240,16 +241,16 @@
     fault after_sync_ = fault::none;
     std::uint64_t steps_ = 0;
     std::uint64_t steps_since_first_ = 0;
-    bool first_struck_ = false;
-    bool second_struck_ = false;
-    std::map<std::pair<std::string, std::string>, std::int64_t> cuts_; // until when
+    bool first_injected_ = false;
+    bool second_injected_ = false;
+    std::map<std::pair<std::string, std::string>, std::int64_t> cuts_; // end of each partition, in true time
     std::unique_ptr<process> operator_;
     std::vector<std::unique_ptr<control_vm>> control_vms_;
     std::vector<std::unique_ptr<worker>> workers_;
     std::vector<std::unique_ptr<entry_vm>> entries_;
 };
 
-/// A control VM: the driver's and the server's order of things, without threads.
+/// A control VM, with the order of operations of the driver and the server but without threads.
 class control_vm final : public process
 {
   public:
@@ -265,7 +266,7 @@
     [[nodiscard]] bool may_act() const;
     void propose(const control::command& value, command_callback done);
 
-    /// Answers a worker; false where this is no leader that may act.
+    /// Answers a report. Returns false if this VM is not a leader that may act.
     [[nodiscard]] bool receive(const plumspoke::worker::report& received, plumspoke::worker::orders& reply);
     [[nodiscard]] bool receive(const control::entry_report& received, control::entry_orders& reply);
 
@@ -301,7 +302,7 @@
     void start_node();
 
     replica::member_id id_;
-    replica::restored_state disk_; // what is synced
+    replica::restored_state disk_; // synced state
     std::unique_ptr<replica::node> node_;
     control::control_state state_;
     replica::log_index applied_ = 0;
@@ -318,7 +319,7 @@
     time_point next_schedule_{};
 };
 
-/// A worker by the contract of docs/WORKERS.md.
+/// A worker that follows the contract in docs/WORKERS.md.
 class worker final : public process
 {
   public:
@@ -328,13 +329,13 @@
     void kill() override;
     void restart() override;
 
-    /// How long each task takes, in true time.
+    /// Duration of each task, in true time.
     duration task_time = milliseconds(800);
-    /// How long an answer takes.
+    /// Time until a request is answered.
     duration answer_time = milliseconds(20);
 
-    /// Runs a request that has arrived; `abandoned` is true once its connection is gone.
-    void serve(const call& asked,
+    /// Runs a request. `abandoned` is true once its connection is closed.
+    void serve(const call& requested,
                const std::shared_ptr<bool>& abandoned,
                const std::shared_ptr<bool>& delivered,
                std::function<void(int)> answer,
@@ -342,7 +343,7 @@
     bool tasks_fail = false;
 
   private:
-    std::vector<std::function<void()>> connections_; // what each does when it is reset
+    std::vector<std::function<void()>> connections_; // reset handlers of the open connections
     struct running_task
     {
         plumspoke::worker::task_report report;
@@ -362,7 +363,7 @@
     std::int64_t last_true_us_ = 0;
 };
 
-/// What a flow asks of an entry.
+/// A request that a flow sends to an entry.
 struct call
 {
     std::string id;
@@ -372,7 +373,7 @@
     duration deadline = milliseconds(1500);
 };
 
-/// An entry with the real table, slots, admission and request flow.
+/// An entry with the production route table, slots, admission and request flow.
 class entry_vm final : public process
 {
   public:
@@ -382,15 +383,16 @@
     void kill() override;
     void restart() override;
 
-    /// Begins a planned stop: no new requests, slots given back when all have ended.
+    /// Begins a planned stop: rejects new requests, and returns the slots when all requests have ended.
     void stop();
     [[nodiscard]] bool stopped() const noexcept
     {
         return stopped_;
     }
 
-    /// A caller's request; the caller is told through `facts.told`, or never where the entry dies.
-    void request(const call& asked, std::function<void(entry::outcome)> done);
+    /// Handles a caller's request. The outcome is recorded in `facts.reported_outcomes`, unless the entry is
+    /// killed first.
+    void request(const call& requested, std::function<void(entry::outcome)> done);
 
     [[nodiscard]] bool serving() const
     {
@@ -414,10 +416,10 @@
     void end_attempt(const std::shared_ptr<live_call>& live,
                      const entry::endpoint_pointer& target,
                      const entry::attempt_result& end);
-    void answer(const std::shared_ptr<live_call>& live, entry::outcome told);
-    void record_claim(const std::shared_ptr<live_call>& live, entry::outcome told);
+    void answer(const std::shared_ptr<live_call>& live, entry::outcome reported_outcome);
+    void record_claim(const std::shared_ptr<live_call>& live, entry::outcome reported_outcome);
 
-    std::vector<std::shared_ptr<bool>> connections_; // true: abandoned
+    std::vector<std::shared_ptr<bool>> connections_; // set to true when the connection is abandoned
     std::unique_ptr<entry::route_table> table_;
     std::uint64_t version_ = 0;
     std::uint64_t sequence_ = 0;
--- a/tests/world/world_faults.cpp
+++ b/tests/world/world_faults.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The faults of the world: which strikes at a step, what each does, and how all end.
+/// @brief Fault injection: selects the fault at a step, applies it and ends all faults.
 
 #include "world.hpp"
 
@@ -13,13 +13,13 @@
 namespace
 {
 
-constexpr auto down_for = milliseconds(400);
-constexpr auto frozen_for = milliseconds(4500); // past every lease and its margin
-constexpr auto cut_for = milliseconds(5000);
-constexpr auto strange_clock_for = milliseconds(10000);
+constexpr auto kill_downtime = milliseconds(400);
+constexpr auto freeze_duration = milliseconds(4500); // longer than each lease and its margin
+constexpr auto partition_duration = milliseconds(5000);
+constexpr auto clock_fault_duration = milliseconds(10000);
 constexpr double fast_rate = 1.08; // within the drift margin over one lease
 constexpr double slow_rate = 0.92;
-constexpr std::int64_t jump_us = 3'000'000; // further than a lease and its margin
+constexpr std::int64_t jump_us = 3'000'000; // longer than a lease and its margin
 
 constexpr std::array<std::string_view, fault_count> fault_names = {"none",
                                                                    "message_lost",
@@ -62,15 +62,15 @@
         return chance(options_.random_faults) ? static_cast<fault>(1 + random_() % (fault_count - 1))
                                               : fault::none;
     }
-    if (!first_struck_ && options_.first.kind != fault::none && steps_ == options_.first.step)
+    if (!first_injected_ && options_.first.kind != fault::none && steps_ == options_.first.step)
     {
-        first_struck_ = true;
+        first_injected_ = true;
         return options_.first.kind;
     }
-    if (first_struck_ && !second_struck_ && options_.second.kind != fault::none &&
+    if (first_injected_ && !second_injected_ && options_.second.kind != fault::none &&
         ++steps_since_first_ == options_.second.step)
     {
-        second_struck_ = true;
+        second_injected_ = true;
         return options_.second.kind;
     }
     return fault::none;
@@ -82,12 +82,13 @@
     {
         return;
     }
-    // Three replicas bear one lost disk at a time. A second one before the repair is beyond the design.
-    const bool all_replicas_whole = lose_disk && replicas_whole();
+    // Three replicas tolerate one lost disk at a time. The design doesn't cover a second loss before the
+    // repair.
+    const bool all_replicas_healthy = lose_disk && replicas_healthy();
     victim.up = false;
     ++victim.life;
     victim.kill();
-    if (lose_disk && all_replicas_whole)
+    if (lose_disk && all_replicas_healthy)
     {
         if (auto* vm = dynamic_cast<control_vm*>(&victim); vm != nullptr)
         {
@@ -102,7 +103,7 @@
           });
 }
 
-bool world::replicas_whole()
+bool world::replicas_healthy()
 {
     const control_vm* leader = acting_leader();
     if (leader == nullptr || leader->consensus().membership_change_pending() ||
@@ -125,31 +126,31 @@
     cuts_[{from, to}] = std::max(cuts_[{from, to}], true_us_ + span.count());
 }
 
-/// Faults of processes and links; those of the message itself are the network's.
-void world::strike(fault kind, process& victim, process& other)
+/// Injects faults of processes and links. `send` handles faults of the message itself.
+void world::inject(fault kind, process& victim, process& other)
 {
     switch (kind)
     {
     case fault::disk_lost:
-        kill_for(victim, down_for, true);
+        kill_for(victim, kill_downtime, true);
         return;
     case fault::receiver_killed:
-        kill_for(victim, down_for, false);
+        kill_for(victim, kill_downtime, false);
         return;
     case fault::receiver_frozen:
-        victim.frozen_until_us = true_us_ + duration(frozen_for).count();
+        victim.frozen_until_us = true_us_ + duration(freeze_duration).count();
         return;
     case fault::link_cut_both_ways:
-        cut(victim.name(), other.name(), cut_for);
-        cut(other.name(), victim.name(), cut_for);
+        cut(victim.name(), other.name(), partition_duration);
+        cut(other.name(), victim.name(), partition_duration);
         return;
     case fault::link_cut_one_way:
-        cut(other.name(), victim.name(), cut_for);
+        cut(other.name(), victim.name(), partition_duration);
         return;
     case fault::clock_fast:
     case fault::clock_slow:
         victim.clock.set_rate(true_us_, kind == fault::clock_fast ? fast_rate : slow_rate);
-        after(strange_clock_for,
+        after(clock_fault_duration,
               [this, &victim]
               {
                   victim.clock.set_rate(true_us_, 1);
@@ -188,24 +189,24 @@
 
 bool world::sync_survived(control_vm& vm)
 {
-    const fault struck = fault_at_step();
-    if (struck == fault::killed_before_sync)
+    const fault injected = fault_at_step();
+    if (injected == fault::killed_before_sync)
     {
-        kill_for(vm, down_for, false);
+        kill_for(vm, kill_downtime, false);
         return false;
     }
-    after_sync_ = struck;
+    after_sync_ = injected;
     return true;
 }
 
 bool world::killed_after_sync(control_vm& vm)
 {
-    const fault struck = std::exchange(after_sync_, fault::none);
-    if (struck != fault::killed_after_sync && struck != fault::disk_lost)
+    const fault injected = std::exchange(after_sync_, fault::none);
+    if (injected != fault::killed_after_sync && injected != fault::disk_lost)
     {
         return false;
     }
-    kill_for(vm, down_for, struck == fault::disk_lost);
+    kill_for(vm, kill_downtime, injected == fault::disk_lost);
     return true;
 }
 
