--- a/tests/world/busy_fleet.cpp
+++ b/tests/world/busy_fleet.cpp
@@ -277,7 +277,7 @@
           {
               submit_due_jobs();
           });
-    lead();
+    schedule_leader();
 }
 
 // ---- workers -----------------------------------------------------------------------------------
@@ -296,7 +296,7 @@
           {
               announce(of);
           });
-    lead();
+    schedule_leader();
 }
 
 void busy_fleet::lapse(worker& on)
@@ -462,13 +462,13 @@
                                       leader_.answered(now_, what, got);
                                   });
               decision_due_ = true;
-              lead();
+              schedule_leader();
           });
 }
 
 // ---- the leader --------------------------------------------------------------------------------
 
-void busy_fleet::lead()
+void busy_fleet::schedule_leader()
 {
     if (leaderless_ || lead_scheduled_ || (inbox_.empty() && !decision_due_))
     {
@@ -509,7 +509,7 @@
     {
         if (decision_due_)
         {
-            lead();
+            schedule_leader();
         }
         return;
     }
@@ -565,7 +565,7 @@
                                        leader_.round_ended(now_, planned.id, answer.starts_accepted);
                                    });
                decision_due_ = true;
-               lead();
+               schedule_leader();
            });
     }
 }
@@ -594,7 +594,7 @@
            {
                leader_.announced(now_, of.info);
            }
-           lead();
+           schedule_leader();
        });
 }
 
@@ -687,7 +687,7 @@
           {
               tick();
           });
-    lead();
+    schedule_leader();
 }
 
 busy_outcome busy_fleet::run(duration span)
--- a/tests/world/busy_fleet.hpp
+++ b/tests/world/busy_fleet.hpp
@@ -173,7 +173,7 @@
     void begin_term();
     void at(time_point when, std::function<void()> what);
     void after(duration delay, std::function<void()> what);
-    void lead();
+    void schedule_leader();
     void decide();
     void send(const dispatch::order& what);
     void arrive(const dispatch::sent_order& what);
@@ -215,7 +215,7 @@
     dispatch::dispatcher leader_{dispatch::dispatch_options{}};
     dispatch::decision_rate_limiter rate_limiter_;
     std::deque<std::pair<time_point, std::function<void()>>> inbox_; // with the arrival time
-    bool decision_due_ = true;                                       // whether a decision is due
+    bool decision_due_ = true;
     bool lead_scheduled_ = false;
     bool leaderless_ = false;
     std::uint64_t term_ = 0;
--- a/tests/world/control_vm.cpp
+++ b/tests/world/control_vm.cpp
@@ -140,11 +140,11 @@
     }
     if (up && may_act())
     {
-        lead();
+        act_as_leader();
     }
 }
 
-void control_vm::lead()
+void control_vm::act_as_leader()
 {
     const bool same_leadership = leading_term_ == node_->term() && now() < acting_until_;
     acting_until_ = node_->lease_end();
@@ -200,7 +200,7 @@
     {
         return false;
     }
-    lead();
+    act_as_leader();
     std::error_code error;
     plumspoke::worker::report_outcome output = lease_manager_.receive(now(), state_, received, error);
     if (error)
@@ -222,7 +222,7 @@
     {
         return false;
     }
-    lead();
+    act_as_leader();
     reply = slot_allocator_.receive(now(), state_.config, received);
     return reply.accepted;
 }
--- a/tests/world/flow_checks.cpp
+++ b/tests/world/flow_checks.cpp
@@ -13,14 +13,14 @@
 constexpr auto heal_limit = seconds(25);
 constexpr auto poll = milliseconds(20);
 
-thread_local ground_truth* watched = nullptr;
+thread_local ground_truth* violation_sink = nullptr;
 
 /// Records a violated internal invariant as a violation of the run instead of ending the test.
 void record_violated_invariant(error::invariant which, const char* where)
 {
-    if (watched != nullptr)
+    if (violation_sink != nullptr)
     {
-        watched->violations.push_back(std::string(error::to_string(which)) + " broken at " + where);
+        violation_sink->violations.push_back(std::string(error::to_string(which)) + " broken at " + where);
     }
 }
 
@@ -152,7 +152,7 @@
                          "the replicas " + vm->name() + " and " + leader->name() + " differ");
     }
     bool answered = false;
-    const auto ask = [&self, &answered](int number)
+    const auto send_request = [&self, &answered](int number)
     {
         call last;
         last.id = "last" + std::to_string(number);
@@ -172,7 +172,7 @@
     };
     for (int i = 0; i < 20 && !answered; ++i)
     {
-        ask(i);
+        send_request(i);
         self.run_for(milliseconds(400));
     }
     self.facts.check(answered, "no request is answered after the faults had ended");
@@ -180,14 +180,14 @@
 
 invariant_recorder::invariant_recorder(ground_truth& facts) noexcept
 {
-    watched = &facts;
+    violation_sink = &facts;
     error::set_invariant_handler(&record_violated_invariant);
 }
 
 invariant_recorder::~invariant_recorder()
 {
     error::set_invariant_handler(nullptr);
-    watched = nullptr;
+    violation_sink = nullptr;
 }
 
 } // namespace plumspoke::world
--- a/tests/world/task_world.cpp
+++ b/tests/world/task_world.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-constexpr auto no_answer_after = milliseconds(700); // timeout of an order in the control process
+constexpr auto answer_timeout = milliseconds(700); // timeout of an order in the control process
 constexpr auto announce_interval = milliseconds(1100);
 constexpr auto tick = milliseconds(25);
 constexpr auto commit_time = milliseconds(15);
@@ -281,15 +281,15 @@
         least += begun == first_started_at_.end() ? 1 : 0;
         most += begun == first_started_at_.end() || now_ < begun->second + waiting_age ? 1 : 0;
     }
-    const std::uint32_t said = store_.pending(jobs::queue{});
-    if (said < least)
+    const std::uint32_t reported_waiting = store_.pending(jobs::queue{});
+    if (reported_waiting < least)
     {
-        report_violation(std::to_string(said) + " jobs are said to wait, and no worker has begun any of " +
-                         std::to_string(least));
+        report_violation(std::to_string(reported_waiting) +
+                         " jobs are said to wait, and no worker has begun any of " + std::to_string(least));
     }
-    if (faults_.is_calm() && said > most)
+    if (faults_.is_calm() && reported_waiting > most)
     {
-        report_violation(std::to_string(said) + " jobs are said to wait, and all but " +
+        report_violation(std::to_string(reported_waiting) + " jobs are said to wait, and all but " +
                          std::to_string(most) + " have begun long ago");
     }
 }
@@ -428,7 +428,7 @@
     return out;
 }
 
-// ---- the way there and back --------------------------------------------------------------------
+// ---- transport ---------------------------------------------------------------------------------
 
 void task_world::send(const dispatch::order& what)
 {
@@ -436,11 +436,11 @@
     const time_point sent_at = now_;
     const bool late = faults_active() && chance(faults_.late_orders);
     const bool lost = faults_active() && chance(faults_.lost_answers);
-    const duration way = milliseconds(between(1, 4));
+    const duration one_way_delay = milliseconds(between(1, 4));
     if (late || lost)
     {
-        calm_since_ = std::max(calm_since_, now_ + no_answer_after);
-        after(no_answer_after,
+        calm_since_ = std::max(calm_since_, now_ + answer_timeout);
+        after(answer_timeout,
               [this, what, epoch, sent_at]
               {
                   reply(what, epoch, sent_at, {});
@@ -448,7 +448,7 @@
     }
     const auto to = workers_.find(recipient_of(what).worker.id);
     const std::uint64_t to_life = to == workers_.end() ? 0 : to->second.lives;
-    after(late ? duration(milliseconds(between(2000, 12'000))) : way + draw_delay(),
+    after(late ? duration(milliseconds(between(2000, 12'000))) : one_way_delay + draw_delay(),
           [this, one = sending{what, epoch, sent_at, to_life, late, !late && !lost}]
           {
               arrive(one);
@@ -474,10 +474,10 @@
     const auto found = workers_.find(id);
     const bool reached = found != workers_.end() && found->second.alive && !found->second.cut;
     const auto* hold = std::get_if<dispatch::poll_order>(&what);
-    // What is on its way to a life, or left by it for later, ends with that life.
-    const bool meets =
+    // Orders in transit to a life, and connections to it, end with that life.
+    const bool is_delivered =
         reached && found->second.lives == to_life && (late || is_connected(id, to_life, hold != nullptr));
-    if (!meets)
+    if (!is_delivered)
     {
         if (answers)
         {
@@ -488,7 +488,8 @@
     worker& on = found->second;
     if (on.info.life != to.worker)
     {
-        dispatch::worker_answer other; // a connection asks which life it ends at before it carries an order
+        dispatch::worker_answer
+            other; // a connection verifies the life of the worker before it carries an order
         other.how = dispatch::reply::other_life;
         other.born_ms = on.info.life.born_ms;
         reply(what, epoch, sent_at, other);
@@ -528,7 +529,7 @@
                            (found->second.address_reused != 0 || found->second.replaced);
     dispatch::worker_answer got;
     got.how = came_back ? dispatch::reply::other_life : dispatch::reply::none;
-    after(came_back ? milliseconds(2) : no_answer_after,
+    after(came_back ? milliseconds(2) : answer_timeout,
           [this, what, epoch, sent_at, got]
           {
               reply(what, epoch, sent_at, got);
@@ -675,16 +676,16 @@
           });
 }
 
-void task_world::roll_faults()
+void task_world::draw_faults()
 {
-    constexpr double per_roll = 0.1; // s
+    constexpr double draw_interval_s = 0.1; // interval of the draws, s
     if (!faults_active())
     {
         return;
     }
     for (auto& [id, of] : workers_)
     {
-        if (of.alive && chance(faults_.cuts_per_s * per_roll) && !of.cut)
+        if (of.alive && chance(faults_.cuts_per_s * draw_interval_s) && !of.cut)
         {
             of.cut = true;
             const duration span = milliseconds(between(500, 7000));
@@ -695,7 +696,7 @@
                       workers_.at(id).cut = false;
                   });
         }
-        if (of.alive && chance(faults_.crashes_per_s * per_roll))
+        if (of.alive && chance(faults_.crashes_per_s * draw_interval_s))
         {
             if (faults_.same_id > 0)
             {
@@ -712,7 +713,7 @@
                   });
         }
         if (of.alive && of.info.state == fleet::worker_state::ready &&
-            chance(faults_.drains_per_s * per_roll))
+            chance(faults_.drains_per_s * draw_interval_s))
         {
             of.info.state = fleet::worker_state::draining;
             of.info.time_left_ms = 2000;
@@ -725,14 +726,14 @@
                   });
         }
     }
-    if (leading_ && chance(faults_.leader_changes_per_s * per_roll))
+    if (leading_ && chance(faults_.leader_changes_per_s * draw_interval_s))
     {
         change_leader();
     }
     after(milliseconds(100),
           [this]
           {
-              roll_faults();
+              draw_faults();
           });
 }
 
@@ -747,7 +748,7 @@
             flap(id);
         }
     }
-    roll_faults();
+    draw_faults();
     std::function<void()> ticker = [this, &ticker]
     {
         for (auto& [id, of] : workers_)
--- a/tests/world/task_world.hpp
+++ b/tests/world/task_world.hpp
@@ -181,7 +181,7 @@
     /// @param address the worker's address; empty for a new one
     std::string add_worker(const std::string& address = {});
     void change_leader();
-    void roll_faults();
+    void draw_faults();
     void crash(const std::string& id);
     /// @brief Ends the other members of the gang of a lost run.
     void break_gang(const jobs::run_name& lost);
--- a/tests/world/task_world_crashes.cpp
+++ b/tests/world/task_world_crashes.cpp
@@ -18,8 +18,9 @@
 constexpr std::int64_t min_flap_ms = 500;           // from a worker's start to its next independent crash
 constexpr std::int64_t max_flap_ms = 6000;
 constexpr std::int64_t max_clock_step_ms = 2000; // step of the wall clock at a restart, in either direction
-constexpr double kind_changes = 0.3;             // share of restarts under the same id that change the size
-constexpr double address_changes = 0.2;          // share of them that change the address
+constexpr double size_change_probability = 0.3;  // share of restarts under the same id that change the size
+constexpr double address_change_probability =
+    0.2; // share of restarts under the same id that change the address
 
 } // namespace
 
@@ -142,11 +143,11 @@
     next.info.life.born_ms = draw_start_time_ms(of);
     next.info.sequence = 0;
     next.start_times_ms.insert(next.info.life.born_ms);
-    if (chance(kind_changes))
+    if (chance(size_change_probability))
     {
         next.info.room.cpu_milli = chance(0.5) ? 8000 : 24'000;
     }
-    if (chance(address_changes))
+    if (chance(address_change_probability))
     {
         next.info.address = "addr-" + id + "-" + std::to_string(next.lives);
     }
--- a/tests/world/worker.cpp
+++ b/tests/world/worker.cpp
@@ -116,14 +116,14 @@
                                     {
                                         if (sequence == sequence_) // answers to older reports are ignored
                                         {
-                                            take(reply, sent_at);
+                                            apply_orders(reply, sent_at);
                                         }
                                     });
                     });
     }
 }
 
-void worker::take(const plumspoke::worker::orders& orders, time_point sent_at)
+void worker::apply_orders(const plumspoke::worker::orders& orders, time_point sent_at)
 {
     const time_point lease_end = sent_at + milliseconds(orders.lease_ms);
     if (now() >= lease_end)
--- a/tests/world/world.cpp
+++ b/tests/world/world.cpp
@@ -195,17 +195,18 @@
         return;
     }
     const fault injected = fault_at_step();
-    std::int64_t way = min_one_way_delay_us + static_cast<std::int64_t>(random_() % one_way_delay_spread_us);
+    std::int64_t one_way_delay_us =
+        min_one_way_delay_us + static_cast<std::int64_t>(random_() % one_way_delay_spread_us);
     int copies = 1;
     switch (injected)
     {
     case fault::message_lost:
         return;
     case fault::message_late:
-        way += late_us;
+        one_way_delay_us += late_us;
         break;
     case fault::message_reordered:
-        way += reordered_us;
+        one_way_delay_us += reordered_us;
         break;
     case fault::message_doubled:
         copies = 2;
@@ -245,12 +246,12 @@
     };
     for (; copies > 0; --copies)
     {
-        at(true_us_ + way,
+        at(true_us_ + one_way_delay_us,
            [arrive]
            {
                (*arrive)();
            });
-        way += min_one_way_delay_us;
+        one_way_delay_us += min_one_way_delay_us;
     }
 }
 
--- a/tests/world/world.hpp
+++ b/tests/world/world.hpp
@@ -296,7 +296,7 @@
 
     void flush();
     void apply(const std::vector<replica::log_entry>& committed);
-    void lead();
+    void act_as_leader();
     void fail_waiting();
     void take_snapshot();
     void start_node();
@@ -352,7 +352,7 @@
 
     void advance(std::int64_t elapsed_us);
     void report();
-    void take(const plumspoke::worker::orders& orders, time_point sent_at);
+    void apply_orders(const plumspoke::worker::orders& orders, time_point sent_at);
 
     std::map<std::uint64_t, running_task> tasks_;
     std::map<std::string, std::uint64_t> newest_token_;
