--- a/tests/src/fault_matrix.cpp
+++ b/tests/src/fault_matrix.cpp
@@ -1,4 +1,4 @@
-// Puts each fault at each step of a flow, found by counting the steps of a run without one.
+// Injects each kind of fault at steps spread over a flow; a run without faults gives the number of steps.
 
 #include "flows.hpp"
 #include "plumspoke/logging/logging.hpp"
@@ -47,12 +47,13 @@
 
 tally run_one_flow(std::string_view flow)
 {
-    tally all;
+    tally total;
     const std::uint64_t steps = pw::run_flow(flow, {}, {}, absl::GetFlag(FLAGS_seed)).steps;
-    run_cell(flow, {}, {}, all);
-    const std::uint64_t asked_stride = absl::GetFlag(FLAGS_stride);
-    const std::uint64_t stride =
-        asked_stride > 0 ? asked_stride : std::max<std::uint64_t>(1, steps / absl::GetFlag(FLAGS_cells));
+    run_cell(flow, {}, {}, total);
+    const std::uint64_t requested_stride = absl::GetFlag(FLAGS_stride);
+    const std::uint64_t stride = requested_stride > 0
+                                     ? requested_stride
+                                     : std::max<std::uint64_t>(1, steps / absl::GetFlag(FLAGS_cells));
     std::cout << flow << ": " << steps << " steps, every " << stride << "\n";
     for (std::size_t kind = 1; kind < pw::fault_count; ++kind)
     {
@@ -62,7 +63,8 @@
             continue;
         }
         tally counted;
-        // Each fault starts at another offset, so that together they visit more steps than one stride does.
+        // Each kind of fault starts at a different offset, so that together they cover more steps than one
+        // stride.
         for (std::uint64_t step = 1 + kind % stride; step <= steps; step += stride)
         {
             if (absl::GetFlag(FLAGS_step) == 0 || absl::GetFlag(FLAGS_step) == step)
@@ -72,9 +74,9 @@
         }
         std::cout << "  " << pw::to_string(fault) << ": " << counted.cells << " cells, " << counted.failed
                   << " failed\n";
-        all.cells += counted.cells;
-        all.failed += counted.failed;
-        all.checks += counted.checks;
+        total.cells += counted.cells;
+        total.failed += counted.failed;
+        total.checks += counted.checks;
     }
     tally pairs;
     for (std::uint64_t i = 0; i < absl::GetFlag(FLAGS_pairs) && absl::GetFlag(FLAGS_fault).empty(); ++i)
@@ -85,10 +87,10 @@
         run_cell(flow, {first, step}, {second, 1 + i * 31 % 200}, pairs);
     }
     std::cout << "  pairs: " << pairs.cells << " cells, " << pairs.failed << " failed\n";
-    all.cells += pairs.cells;
-    all.failed += pairs.failed;
-    all.checks += pairs.checks;
-    return all;
+    total.cells += pairs.cells;
+    total.failed += pairs.failed;
+    total.checks += pairs.checks;
+    return total;
 }
 
 } // namespace
@@ -97,18 +99,18 @@
 {
     absl::ParseCommandLine(argc, argv);
     plumspoke::logging::start(false);
-    tally all;
+    tally total;
     for (const std::string_view flow : pw::flow_names())
     {
         if (absl::GetFlag(FLAGS_flow).empty() || absl::GetFlag(FLAGS_flow) == flow)
         {
             const tally one = run_one_flow(flow);
-            all.cells += one.cells;
-            all.failed += one.failed;
-            all.checks += one.checks;
+            total.cells += one.cells;
+            total.failed += one.failed;
+            total.checks += one.checks;
         }
     }
-    std::cout << all.cells << " cells, " << all.checks << " checks, " << all.failed << " cells failed, seed "
-              << absl::GetFlag(FLAGS_seed) << "\n";
-    return all.failed == 0 && all.cells > 0 ? 0 : 1;
+    std::cout << total.cells << " cells, " << total.checks << " checks, " << total.failed
+              << " cells failed, seed " << absl::GetFlag(FLAGS_seed) << "\n";
+    return total.failed == 0 && total.cells > 0 ? 0 : 1;
 }
--- a/tests/src/random_runs.cpp
+++ b/tests/src/random_runs.cpp
@@ -1,4 +1,4 @@
-// Long runs of all flows with all faults together. The seed is printed and replays the run.
+// Long randomized runs of all flows with all kinds of faults. The printed seed reproduces a run.
 
 #include "flows.hpp"
 #include "plumspoke/logging/logging.hpp"
--- a/tests/src/unit-late_announcements.cpp
+++ b/tests/src/unit-late_announcements.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Workers whose announcements are held up on their way, though they answer their polls.
+/// @brief Workers whose announcements are delayed although they answer their polls.
 
 #include "dispatcher_fixture.hpp"
 
@@ -10,8 +10,12 @@
 namespace
 {
 
-/// @brief Lets time pass; polls are answered with the run, and nothing is announced.
-void pass(fixture& f, const jobs::run_name& running, duration span, const std::string& silent = {})
+/// @brief Advances the time by 50 ms steps without announcements; polls are answered with the run.
+/// @param silent worker that answers no poll; none if empty
+void advance_without_announcements(fixture& f,
+                                   const jobs::run_name& running,
+                                   duration span,
+                                   const std::string& silent = {})
 {
     for (const time_point end = f.now + span; f.now < end;)
     {
@@ -30,7 +34,7 @@
 
 } // namespace
 
-TEST_CASE("a worker that answers its polls takes tasks while its announcements are late")
+TEST_CASE("a worker that answers its polls is given tasks while its announcements are delayed")
 {
     fixture f;
     f.announce("w1");
@@ -45,33 +49,33 @@
     const start_order started = f.sent<start_order>().at(0);
     f.answer(started, {reply::done, {}, {}, {}});
 
-    SECTION("as long as it answers")
+    SECTION("while it answers")
     {
-        pass(f, started.name, seconds(7));
+        advance_without_announcements(f, started.name, seconds(7));
         CHECK(starts_after_submit(f) == 1);
     }
-    SECTION("and not once it answers nothing")
+    SECTION("but not after it stops answering")
     {
-        pass(f, started.name, seconds(5));
-        pass(f, started.name, seconds(2), "w1");
+        advance_without_announcements(f, started.name, seconds(5));
+        advance_without_announcements(f, started.name, seconds(2), "w1");
         CHECK(starts_after_submit(f) == 0);
     }
-    SECTION("without any announcement it isn't taken for ever")
+    SECTION("without any announcement it is not given tasks indefinitely")
     {
-        pass(f, started.name, seconds(16));
+        advance_without_announcements(f, started.name, seconds(16));
         CHECK(starts_after_submit(f) == 0);
     }
-    SECTION("one that has said that it leaves is not taken")
+    SECTION("a worker that announced that it drains is given no tasks")
     {
-        fleet::announcement leaving;
-        leaving.life.id = "w1";
-        leaving.service = "pool";
-        leaving.address = "address-w1";
-        leaving.room = {16'000, 64'000, 0};
-        leaving.state = fleet::worker_state::draining;
-        leaving.time_left_ms = 60'000;
-        f.leader.announced(f.now, leaving);
-        pass(f, started.name, seconds(7));
+        fleet::announcement draining_announcement;
+        draining_announcement.life.id = "w1";
+        draining_announcement.service = "pool";
+        draining_announcement.address = "address-w1";
+        draining_announcement.room = {16'000, 64'000, 0};
+        draining_announcement.state = fleet::worker_state::draining;
+        draining_announcement.time_left_ms = 60'000;
+        f.leader.announced(f.now, draining_announcement);
+        advance_without_announcements(f, started.name, seconds(7));
         CHECK(starts_after_submit(f) == 0);
     }
 }
--- a/tests/src/unit-late_renewals.cpp
+++ b/tests/src/unit-late_renewals.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Leases of runs while orders, answers and decisions of a leader take tenths of a second each.
+/// @brief Run leases while a leader's orders, responses and decisions each take tenths of a second.
 
 #include "busy_fleet.hpp"
 
@@ -10,14 +10,14 @@
 namespace
 {
 
-constexpr auto leaderless = milliseconds(1500); // for which a lease is meant to last
+constexpr auto leaderless = milliseconds(1500); // a lease is designed to outlast this gap
 constexpr auto election = milliseconds(700);
 constexpr auto short_term = milliseconds(1000);
 
-test::busy_load load_of(bool late)
+test::busy_load make_load(bool delayed)
 {
     test::busy_load load = test::busy_load::of_wide_steps(1800);
-    if (late)
+    if (delayed)
     {
         load.decision_time = milliseconds(50);
         load.order_delay = milliseconds(200);
@@ -27,30 +27,31 @@
     return load;
 }
 
-void check_leases(const test::busy_outcome& seen, bool late)
+void check_leases(const test::busy_outcome& seen, bool delayed)
 {
-    INFO((late ? "late" : "prompt") << " leader: " << seen.lasting_lapsed << " lasting and " << seen.lapsed
-                                    << " runs lapsed, " << seen.decisions << " decisions");
+    INFO((delayed ? "delayed" : "prompt")
+         << " leader: " << seen.lasting_lapsed << " lasting and " << seen.lapsed << " runs lapsed, "
+         << seen.decisions << " decisions");
     CHECK(seen.lasting_lapsed == 0);
 }
 
 } // namespace
 
-TEST_CASE("leases outlive a change of a leader whose orders and answers take tenths of a second")
+TEST_CASE("leases survive a change of leader when orders and responses take tenths of a second")
 {
-    const bool late = GENERATE(false, true);
-    test::busy_fleet fleet(load_of(late));
+    const bool delayed = GENERATE(false, true);
+    test::busy_fleet fleet(make_load(delayed));
     fleet.lose_leader(seconds(8), leaderless);
-    check_leases(fleet.run(seconds(13)), late);
+    check_leases(fleet.run(seconds(13)), delayed);
 }
 
-TEST_CASE("leases outlive leaders that follow one another and are late")
+TEST_CASE("leases survive a series of delayed leaders with short terms")
 {
-    const bool late = GENERATE(false, true);
-    test::busy_fleet fleet(load_of(late));
+    const bool delayed = GENERATE(false, true);
+    test::busy_fleet fleet(make_load(delayed));
     for (int i = 0; i < 4; ++i)
     {
         fleet.lose_leader(seconds(8) + i * (short_term + election), election);
     }
-    check_leases(fleet.run(seconds(16)), late);
+    check_leases(fleet.run(seconds(16)), delayed);
 }
--- a/tests/src/unit-late_starts.cpp
+++ b/tests/src/unit-late_starts.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief What else may use starts that are kept for short tasks, and starts whose worker leaves meanwhile.
+/// @brief Other uses of starts reserved for short tasks, and starts whose worker drains before they are sent.
 
 #include "dispatcher_fixture.hpp"
 
@@ -12,7 +12,7 @@
 namespace
 {
 
-enum class kind
+enum class job_kind
 {
     brief,
     filler,
@@ -22,7 +22,7 @@
 struct job_setup
 {
     std::string id;
-    kind of = kind::brief;
+    job_kind kind = job_kind::brief;
     std::uint32_t tasks = 1;
     std::uint32_t priority = 0;
     std::int64_t age_ms = 0;
@@ -30,25 +30,25 @@
     std::int64_t cpu_milli = 1000;
 };
 
-void hand_in(fixture& f, const job_setup& from)
+void submit_setup(fixture& f, const job_setup& setup)
 {
     jobs::submit value;
-    value.id = from.id;
-    value.source_queue.name = from.of == kind::filler ? "filler" : "queue";
+    value.id = setup.id;
+    value.source_queue.name = setup.kind == job_kind::filler ? "filler" : "queue";
     value.source_queue.service = "pool";
-    value.source_queue.priority = from.priority;
+    value.source_queue.priority = setup.priority;
     value.source_queue.max_failures = 3;
     value.source_queue.objective_factor = 2;
-    value.source_queue.objective_extra_ms = from.extra_ms;
+    value.source_queue.objective_extra_ms = setup.extra_ms;
     jobs::step_spec step;
-    step.task_count = from.tasks;
-    step.needs = {from.cpu_milli, 100, 0};
-    step.lasting = from.of == kind::lasting;
-    step.filler = from.of == kind::filler;
+    step.task_count = setup.tasks;
+    step.needs = {setup.cpu_milli, 100, 0};
+    step.lasting = setup.kind == job_kind::lasting;
+    step.filler = setup.kind == job_kind::filler;
     step.estimate_ms = 1000;
     value.spec.steps.push_back(step);
     const auto passed = std::chrono::duration_cast<milliseconds>(f.now - start).count();
-    value.at_ms = day_ms + passed - from.age_ms;
+    value.at_ms = day_ms + passed - setup.age_ms;
     (void)f.state.apply(value);
 }
 
@@ -79,37 +79,37 @@
 
 } // namespace
 
-TEST_CASE("fillers don't take the starts that are kept for short tasks while lasting ones wait")
+TEST_CASE("fillers don't use the starts reserved for short tasks while lasting tasks wait")
 {
     fixture f;
     announce_workers(f);
-    hand_in(f, {"lasting", kind::lasting, 100, 0});
-    hand_in(f, {"brief", kind::brief, 64, 1, 0, 1000, 20'000}); // fits nowhere
-    hand_in(f, {"filler", kind::filler, 100, 2});
+    submit_setup(f, {"lasting", job_kind::lasting, 100, 0});
+    submit_setup(f, {"brief", job_kind::brief, 64, 1, 0, 1000, 20'000}); // needs more than any worker has
+    submit_setup(f, {"filler", job_kind::filler, 100, 2});
     f.decide();
     REQUIRE(count_starts(f, "lasting") > 0);
     INFO(count_starts(f, "lasting") << " lasting, " << count_starts(f, "filler") << " fillers");
     CHECK(count_starts(f, "filler") == 0);
 }
 
-TEST_CASE("a start whose record was slow isn't ordered from a worker that drains by then")
+TEST_CASE("a start whose record commits slowly isn't sent to a worker that drains meanwhile")
 {
     fixture f;
     f.announce("worker");
     f.decide();
     f.answer_polls();
-    hand_in(f, {"brief", kind::brief, 1, 0});
+    submit_setup(f, {"brief", job_kind::brief, 1, 0});
     f.decide();
     REQUIRE(count_starts(f, "brief") == 1);
-    fleet::announcement leaving;
-    leaving.life.id = "worker";
-    leaving.service = "pool";
-    leaving.address = "address-worker";
-    leaving.room = {16'000, 64'000, 0};
-    leaving.state = fleet::worker_state::draining;
-    leaving.time_left_ms = 20'000;
-    leaving.sequence = 1;
-    f.leader.announced(f.now, leaving);
+    fleet::announcement draining_announcement;
+    draining_announcement.life.id = "worker";
+    draining_announcement.service = "pool";
+    draining_announcement.address = "address-worker";
+    draining_announcement.room = {16'000, 64'000, 0};
+    draining_announcement.state = fleet::worker_state::draining;
+    draining_announcement.time_left_ms = 20'000;
+    draining_announcement.sequence = 1;
+    f.leader.announced(f.now, draining_announcement);
     f.decide(milliseconds(1200));
     f.commit();
     f.decide();
--- a/tests/src/unit-late_stops.cpp
+++ b/tests/src/unit-late_stops.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief What a late leader's stops and starts do between their decision and their worker.
+/// @brief Delivery of stops and starts to a worker by a leader whose event loop is delayed.
 
 #include "slow_worker_fixture.hpp"
 
@@ -14,14 +14,15 @@
 namespace
 {
 
-constexpr auto stop_limit = milliseconds(4900); // from the answer to a cancel until nothing of the job runs
+constexpr auto stop_limit =
+    milliseconds(4900); // from the response to a cancel until no run of the job is left
 
 std::int64_t to_ms(duration of)
 {
     return std::chrono::duration_cast<milliseconds>(of).count();
 }
 
-/// @brief A caller of a worker that says which life it is.
+/// @brief A client of a worker that reports which process (life) it is.
 struct introduced_caller : caller_fixture
 {
     explicit introduced_caller(const slow_worker& target) : caller_fixture(target)
@@ -38,10 +39,11 @@
         return out;
     }
 
-    /// @brief The loop's thread does something else, and then handles what there is.
-    void look_late(milliseconds late)
+    /// @brief Blocks the event loop's thread, then handles all pending events.
+    /// @param delay for how long it is blocked
+    void poll_after_delay(milliseconds delay)
     {
-        std::this_thread::sleep_for(late);
+        std::this_thread::sleep_for(delay);
         context.restart();
         context.poll();
     }
@@ -49,18 +51,18 @@
 
 } // namespace
 
-TEST_CASE("a start whose worker is still being asked for its life is not sent once its run's stop is ordered")
+TEST_CASE("a start that waits for its worker's life is not sent once a stop of its run is ordered")
 {
-    const auto late = milliseconds(300);
+    const auto delay = milliseconds(300);
     const slow_worker target(milliseconds(5));
     introduced_caller f(target);
     f.caller.send(f.start(0));
-    f.look_late(late); // connected and asked
+    f.poll_after_delay(delay); // connected, and the life is requested
     f.caller.send(stop_order{f.to, 1, caller_fixture::name(0)});
     const time_point ordered_at = std::chrono::steady_clock::now();
     for (int i = 0; i < 4; ++i)
     {
-        f.look_late(late);
+        f.poll_after_delay(delay);
     }
     const std::optional<time_point> started = target.arrival_of("/start");
     REQUIRE(target.arrival_of("/hold").has_value());
@@ -72,9 +74,9 @@
     CHECK(f.answers.size() == 2);
 }
 
-TEST_CASE("a stop reaches its worker in time though leaders are late and each leads for half a second")
+TEST_CASE("a stop reaches its worker in time with delayed leaders whose terms last half a second")
 {
-    const auto late = milliseconds(300);
+    const auto delay = milliseconds(300);
     const auto term = milliseconds(500);
     const auto without_leader = milliseconds(600);
     const slow_worker target(milliseconds(5));
@@ -85,8 +87,8 @@
            std::chrono::steady_clock::now() < cancelled_at + stop_limit)
     {
         f.caller.send(stop_order{f.to, ++terms, caller_fixture::name(0)});
-        f.look_late(late);
-        std::this_thread::sleep_for(term - late);
+        f.poll_after_delay(delay);
+        std::this_thread::sleep_for(term - delay);
         f.caller.reset();
         std::this_thread::sleep_for(without_leader);
     }
--- a/tests/src/unit-late_waiting_count.cpp
+++ b/tests/src/unit-late_waiting_count.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The count of waiting jobs under a leader whose records, orders and answers take 0.1 to 0.5 s each.
+/// @brief The count of waiting jobs when a leader's records, orders and responses take 0.1 to 0.5 s each.
 
 #include "task_world.hpp"
 
@@ -15,9 +15,9 @@
 {
 
 constexpr std::size_t workers = 490;
-constexpr std::size_t jobs_handed_in = 1500;
+constexpr std::size_t submitted_jobs = 1500;
 
-task_faults late_leader()
+task_faults delayed_leader()
 {
     task_faults faults;
     faults.min_delay = milliseconds(100);
@@ -30,7 +30,7 @@
 void check_counts(std::uint64_t seed, const task_faults& faults)
 {
     task_world world(seed, faults);
-    world.submit_random(jobs_handed_in, seconds(18));
+    world.submit_random(submitted_jobs, seconds(18));
     const task_outcome seen = world.run(seconds(40), workers);
     std::ptrdiff_t wrong_counts = 0;
     for (const std::string& one : seen.broken)
@@ -43,16 +43,16 @@
     }
     INFO("seed " << seed << ", " << seen.starts << " starts, " << seen.leaders << " leaders");
     CHECK(wrong_counts == 0);
-    CHECK(seen.starts > jobs_handed_in);
+    CHECK(seen.starts > submitted_jobs);
 }
 
 } // namespace
 
-TEST_CASE("a late leader's count leaves out jobs that no worker has begun, or is more than 2 s old")
+TEST_CASE("a delayed leader's count omits jobs that no worker has begun, or is more than 2 s old")
 {
-    task_faults faults = late_leader();
+    task_faults faults = delayed_leader();
 
-    SECTION("on calm days")
+    SECTION("without other faults")
     {
         check_counts(1, faults);
     }
@@ -61,13 +61,13 @@
         faults.leader_changes_per_s = 0.4;
         check_counts(3, faults);
     }
-    SECTION("where starts are carried out late, or answers are lost, and stops come first")
+    SECTION("where starts are executed late or responses are lost, and stops arrive first")
     {
         faults.late_orders = 0.5;
         faults.lost_answers = 0.1;
         check_counts(4, faults);
     }
-    SECTION("where everything goes wrong at once")
+    SECTION("with all faults combined")
     {
         faults.late_orders = 0.05;
         faults.lost_answers = 0.05;
--- a/tests/src/unit-leader_cost.cpp
+++ b/tests/src/unit-leader_cost.cpp
@@ -1,16 +1,15 @@
 /// @file
-/// @brief What it costs to lead a large fleet.
+/// @brief The processor time that leading a large fleet takes.
 ///
-/// Symptom: on a fleet of 490 workers lasting tasks lapsed one run after the other, most short work was late,
-/// and terms lasted 1 to 4 s, on a day without any fault; the same day with free processors broke nothing.
-/// Sequence: each answer of a worker and each announcement led to a decision; each decision walked over all
-/// runs, and each placement over all tasks of all live steps and, for each task that waited, over all workers
-/// and the runs beside it. The leader had no time left to renew leases, lost its own, and its successor began
-/// by asking all workers again.
-/// Cause: cost for each event that grows with the fleet, so that the whole grew with its square.
-/// Settled by: processor time of the decisions for each start, 697 us with 120 workers and 2397 us with 490
-/// (1000 starts a second are asked for, on 0.4 of a processor); at 0.4 of a processor 1576 of 3694 runs
-/// lapsed in 15 s of virtual time and an answer waited up to 1.7 s.
+/// Guards against cost that grows with the square of the fleet. With 490 workers and no fault, runs of
+/// lasting tasks lapsed one after another, most short tasks were late, and terms lasted 1 to 4 s; with
+/// idle processors nothing failed. Each response and each announcement of a worker triggered a
+/// decision; each decision iterated over all runs, and each placement over all tasks of all live steps and,
+/// for each waiting task, over all workers and their runs. The leader had no time left to renew leases, lost
+/// its own, and its successor began by polling all workers again. Measured before the fix: 697 us of
+/// processor time per start with 120 workers and 2397 us with 490, where 1000 starts per second on 0.4 of a
+/// processor are required; at 0.4 of a processor 1576 of 3694 runs lapsed in 15 s of virtual time, and a
+/// response waited up to 1.7 s.
 
 #include "busy_fleet.hpp"
 
@@ -21,7 +20,7 @@
 using test::busy_load;
 using test::busy_outcome;
 
-TEST_CASE("a start costs a large fleet's leader about as much as a small one's")
+TEST_CASE("the leader's cost per start is about the same for a large fleet as for a small one")
 {
     busy_load small;
     small.workers = 120;
@@ -32,11 +31,12 @@
     INFO(of_small.us_per_start() << " us a start with 120 workers, " << of_large.us_per_start()
                                  << " us with 480");
     REQUIRE(of_large.starts > 3 * of_small.starts);
-    // Linear cost for each start would be 4 times as much; caches alone account for some 1.5.
+    // A cost per start that is linear in the fleet size gives a factor of 4; cache misses alone give
+    // about 1.5.
     CHECK(of_large.us_per_start() < 2.5 * of_small.us_per_start());
 }
 
-TEST_CASE("on a small processor no lease lapses, whatever comes late")
+TEST_CASE("no lease lapses on a slow processor")
 {
     busy_load load;
     load.processor = 0.4;
@@ -44,5 +44,5 @@
     const busy_outcome seen = busy_fleet(load).run(seconds(18));
     INFO(seen.starts << " starts, " << seen.us_per_start() << " us each");
     CHECK(seen.lapsed == 0);
-    CHECK(seen.longest_wait < milliseconds(1000)); // a poll's renewal has to be there within 3 s
+    CHECK(seen.longest_wait < milliseconds(1000)); // a poll's renewal must arrive within 3 s
 }
--- a/tests/src/unit-leader_overload.cpp
+++ b/tests/src/unit-leader_overload.cpp
@@ -1,15 +1,13 @@
 /// @file
-/// @brief A leader with far too small a processor.
+/// @brief A leader with far too little processor time.
 ///
-/// Symptom: lasting tasks lapsed and were started again and again, while jobs were taken on that waited for
-/// longer than anybody does; no caller was told so.
-/// Sequence: the leader was behind with the answers of its workers; it went on to start all that was waiting,
-/// asked workers with fillers twice a second, and took more jobs; the polls that renew leases had their turn
-/// after all of that, and each run that lapsed was one more to start.
-/// Cause: nothing in the leader gives way when it is behind: renewals of leases, new starts and new jobs have
-/// the same claim on its processor.
-/// Settled by: 490 workers, 0.1 of a processor, 100 us a call, 20 s of virtual time: 2636 of 3303 runs
-/// lapsed, none was done, answers waited up to 1.4 s, no job was refused.
+/// Guards against a leader without load shedding, where lease renewals, new starts and new jobs have the same
+/// priority. Lasting tasks lapsed and were restarted repeatedly, while jobs were accepted that then waited
+/// too long, without any error to the client. The leader fell behind with its workers' responses, yet kept
+/// starting all waiting tasks, polled workers with fillers twice a second and accepted more jobs; the polls
+/// that renew leases came last, and each lapsed run added another start. Measured before the fix with 490
+/// workers, 0.1 of a processor, 100 us per call and 20 s of virtual time: 2636 of 3303 runs lapsed, none
+/// completed, responses waited up to 1.4 s and no job was refused.
 
 #include "busy_fleet.hpp"
 
@@ -23,7 +21,7 @@
 namespace
 {
 
-busy_outcome play(double processor)
+busy_outcome run_fleet(double processor)
 {
     busy_load load;
     load.processor = processor;
@@ -33,19 +31,19 @@
 
 } // namespace
 
-TEST_CASE("a leader that is behind refuses jobs rather than let leases lapse")
+TEST_CASE("an overloaded leader refuses jobs instead of letting leases lapse")
 {
-    const busy_outcome seen = play(0.1);
+    const busy_outcome seen = run_fleet(0.1);
     INFO(seen.starts << " starts, " << seen.done << " done, " << seen.refused
                      << " jobs refused, longest wait " << seen.longest_wait.count() / 1000 << " ms");
     CHECK(seen.lapsed == 0);
     CHECK(seen.refused > 0);
 }
 
-TEST_CASE("a leader that is behind goes on with the work that it has")
+TEST_CASE("an overloaded leader continues with the jobs that it has accepted")
 {
-    // Renewals alone need 490 polls a second of 200 us, there and back: two thirds of this processor.
-    const busy_outcome seen = play(0.15);
+    // Renewals alone need 490 polls per second of 200 us per round trip: two thirds of this processor share.
+    const busy_outcome seen = run_fleet(0.15);
     INFO(seen.starts << " starts, " << seen.done << " done, " << seen.refused << " jobs refused");
     CHECK(seen.lapsed == 0);
     CHECK(seen.done > 500);
@@ -54,7 +52,7 @@
 
 TEST_CASE("a leader that keeps up refuses nothing")
 {
-    const busy_outcome seen = play(0.8);
+    const busy_outcome seen = run_fleet(0.8);
     INFO(seen.starts << " starts, longest wait " << seen.longest_wait.count() / 1000 << " ms");
     CHECK(seen.lapsed == 0);
     CHECK(seen.refused == 0);
