--- a/tests/src/crashing_tasks_fixture.hpp
+++ b/tests/src/crashing_tasks_fixture.hpp
@@ -14,7 +14,7 @@
 constexpr int tasks_per_healthy_job = 8;
 constexpr int healthy_tasks = healthy_jobs * tasks_per_healthy_job;
 
-inline jobs::job_spec job_of(std::uint32_t tasks)
+inline jobs::job_spec make_job_spec(std::uint32_t tasks)
 {
     jobs::step_spec step;
     step.task_count = tasks;
@@ -31,7 +31,7 @@
     constexpr auto gap = milliseconds(300);
     for (int i = 0; i < healthy_jobs; ++i)
     {
-        world.submit(gap * i, job_of(tasks_per_healthy_job), "sound" + std::to_string(i));
+        world.submit(gap * i, make_job_spec(tasks_per_healthy_job), "sound" + std::to_string(i));
     }
 }
 
@@ -48,12 +48,12 @@
     faults.failures = 0;
     faults.leader_changes_per_s = leader_changes_per_s;
     std::uint64_t crashes = 0;
-    std::size_t given_up = 0;
+    std::size_t failed_healthy_jobs = 0;
     for (std::uint64_t seed = 3000; seed < 3000 + worlds; ++seed)
     {
         task_world world(seed, faults);
         submit_healthy_jobs(world);
-        jobs::job_spec lasting = job_of(6);
+        jobs::job_spec lasting = make_job_spec(6);
         lasting.steps[0].lasting = true;
         for (int i = 0; i < lasting_jobs; ++i)
         {
@@ -65,13 +65,13 @@
         }
         const task_outcome seen = world.run(seconds(60), workers);
         crashes += seen.workers_crashed;
-        given_up += seen.sound_failed;
+        failed_healthy_jobs += seen.sound_failed;
         INFO("seed " << seed);
         CHECK(seen.broken.empty());
         CHECK(seen.open == 0);
     }
     INFO(crashes << " workers crashed");
-    CHECK(given_up == 0);
+    CHECK(failed_healthy_jobs == 0);
 }
 
 } // namespace plumspoke::test
--- a/tests/src/unit-bounded_retries.cpp
+++ b/tests/src/unit-bounded_retries.cpp
@@ -18,7 +18,7 @@
 namespace
 {
 
-jobs::job_spec job_of(std::uint32_t tasks)
+jobs::job_spec make_job_spec(std::uint32_t tasks)
 {
     jobs::step_spec step;
     step.task_count = tasks;
@@ -42,7 +42,7 @@
 {
     const std::uint64_t seed = GENERATE(range(1, 9));
     task_world world(seed, no_faults());
-    world.submit(seconds(1), job_of(8), "job");
+    world.submit(seconds(1), make_job_spec(8), "job");
     for (std::uint32_t index = 0; index < 8; ++index)
     {
         world.make_slow({"job", 0, 0, index}, index == 3 ? seconds(20) : seconds(1));
@@ -58,7 +58,7 @@
 {
     const std::uint64_t seed = GENERATE(range(1, 9));
     task_world world(seed, no_faults());
-    jobs::job_spec large = job_of(1);
+    jobs::job_spec large = make_job_spec(1);
     large.steps[0].needs.cpu_milli =
         9000; // one task per worker: several stalled tasks on one worker would count against it
     for (int i = 0; i < 4; ++i)
--- a/tests/src/unit-crashing_tasks.cpp
+++ b/tests/src/unit-crashing_tasks.cpp
@@ -20,7 +20,7 @@
 #include <catch2/catch.hpp>
 
 using namespace plumspoke;
-using test::job_of;
+using test::make_job_spec;
 using test::submit_healthy_jobs;
 using test::task_faults;
 using test::task_outcome;
@@ -29,10 +29,10 @@
 namespace
 {
 
-void check(std::uint64_t seed,
-           const task_faults& faults,
-           const jobs::job_spec& crashing_job,
-           std::uint32_t crashing_tasks)
+void check_seed(std::uint64_t seed,
+                const task_faults& faults,
+                const jobs::job_spec& crashing_job,
+                std::uint32_t crashing_tasks)
 {
     constexpr std::size_t workers = 12;
     task_world world(seed, faults);
@@ -63,7 +63,7 @@
     constexpr std::uint64_t seeds = 8;
     for (std::uint64_t seed = first; seed < first + seeds; ++seed)
     {
-        check(seed, faults, crashing_job, crashing_tasks);
+        check_seed(seed, faults, crashing_job, crashing_tasks);
     }
 }
 
@@ -76,63 +76,63 @@
 
     SECTION("with healthy tasks in the same job")
     {
-        check_seeds(1, faults, job_of(12));
+        check_seeds(1, faults, make_job_spec(12));
     }
     SECTION("several of one job at once")
     {
-        check_seeds(100, faults, job_of(12), 3);
+        check_seeds(100, faults, make_job_spec(12), 3);
     }
     SECTION("several of one job at once, whose workers crash before they respond to the start")
     {
         faults.crash_least = milliseconds(0);
         faults.crash_most = milliseconds(0);
-        check_seeds(900, faults, job_of(12), 5);
+        check_seeds(900, faults, make_job_spec(12), 5);
     }
     SECTION("the same, where leaders change")
     {
         faults.crash_least = milliseconds(0);
         faults.crash_most = milliseconds(0);
         faults.leader_changes_per_s = 0.2;
-        check_seeds(1900, faults, job_of(12), 5);
+        check_seeds(1900, faults, make_job_spec(12), 5);
     }
     SECTION("where workers are back only after their lease has lapsed")
     {
         faults.down_least = seconds(5);
         faults.down_most = seconds(9);
-        check_seeds(200, faults, job_of(12));
+        check_seeds(200, faults, make_job_spec(12));
     }
     SECTION("where workers are back before their absence is detected")
     {
         faults.down_least = milliseconds(50);
         faults.down_most = milliseconds(300);
-        check_seeds(300, faults, job_of(12));
+        check_seeds(300, faults, make_job_spec(12));
     }
     SECTION("where leaders change")
     {
         faults.leader_changes_per_s = 0.4;
-        check_seeds(400, faults, job_of(12));
+        check_seeds(400, faults, make_job_spec(12));
     }
     SECTION("where orders are delayed and responses are lost")
     {
         faults.late_orders = 0.05;
         faults.lost_answers = 0.1;
-        check_seeds(500, faults, job_of(12));
+        check_seeds(500, faults, make_job_spec(12));
     }
     SECTION("that lasts")
     {
-        jobs::job_spec lasting = job_of(6);
+        jobs::job_spec lasting = make_job_spec(6);
         lasting.steps[0].lasting = true;
         check_seeds(600, faults, lasting);
     }
     SECTION("in a gang")
     {
-        jobs::job_spec gang = job_of(6);
+        jobs::job_spec gang = make_job_spec(6);
         gang.steps[0].gang = true;
         check_seeds(700, faults, gang);
     }
     SECTION("with copies allowed")
     {
-        jobs::job_spec copied = job_of(6);
+        jobs::job_spec copied = make_job_spec(6);
         copied.steps[0].copies_allowed = true;
         check_seeds(800, faults, copied);
     }
@@ -148,21 +148,21 @@
     faults.until = seconds(30);
     faults.flapping = GENERATE(0.1, 0.3);
     std::uint64_t crashes = 0;
-    std::size_t given_up = 0;
+    std::size_t failed_healthy_jobs = 0;
     for (std::uint64_t seed = 1000; seed < 1000 + worlds; ++seed)
     {
         task_world world(seed, faults);
         submit_healthy_jobs(world);
         const task_outcome seen = world.run(seconds(60), workers);
         crashes += seen.workers_crashed;
-        given_up += seen.sound_failed;
+        failed_healthy_jobs += seen.sound_failed;
         INFO("seed " << seed << ", " << seen.workers_crashed << " workers crashed");
         CHECK(seen.broken.empty());
         CHECK(seen.open == 0);
     }
     INFO(crashes << " workers crashed, " << faults.flapping << " of the workers flapping");
     CHECK(crashes > 0);
-    CHECK(given_up == 0);
+    CHECK(failed_healthy_jobs == 0);
 }
 
 TEST_CASE("no healthy job fails where a third of the workers repeatedly crash at once")
--- a/tests/src/unit-dispatch_world.cpp
+++ b/tests/src/unit-dispatch_world.cpp
@@ -14,7 +14,7 @@
 namespace
 {
 
-void check(std::uint64_t seed, const task_faults& faults)
+void check_seed(std::uint64_t seed, const task_faults& faults)
 {
     task_world world(seed, faults);
     world.submit_random(60, seconds(18));
@@ -34,7 +34,7 @@
     constexpr std::uint64_t seeds = 8;
     for (std::uint64_t seed = first; seed < first + seeds; ++seed)
     {
-        check(seed, faults);
+        check_seed(seed, faults);
     }
 }
 
