--- a/tests/src/crashing_tasks_fixture.hpp
+++ b/tests/src/crashing_tasks_fixture.hpp
@@ -25,7 +25,7 @@
     return spec;
 }
 
-/// @brief Submits healthy jobs that occupy about half of the capacity of twelve workers.
+/// @brief Submits healthy jobs that keep half of twelve workers busy.
 inline void submit_healthy_jobs(task_world& world)
 {
     constexpr auto gap = milliseconds(300);
--- a/tests/src/unit-cancelled_runs.cpp
+++ b/tests/src/unit-cancelled_runs.cpp
@@ -8,7 +8,7 @@
 /// delay: with a delayed event loop, a response that had already arrived was discarded, its connection
 /// closed, and the next order had to connect again. The start of the run above had long been answered, so the
 /// queue, the order within a decision and the delayed loop remain as causes; its log does not tell them
-/// apart. "Before" in a comment below gives the figures measured without the fix.
+/// apart. "Without the fix" below marks figures measured on the faulty code.
 
 #include "dispatcher_fixture.hpp"
 #include "slow_worker_fixture.hpp"
@@ -55,7 +55,7 @@
 
 // ---- decision ----------------------------------------------------------------------------------
 
-// Before: no stop until the start was answered, which took 700 ms for each order queued before it.
+// Without the fix: no stop until the start was answered, which took 700 ms for each order queued before it.
 TEST_CASE("a cancelled job's run is stopped before its start is answered")
 {
     fixture f;
@@ -80,7 +80,7 @@
     }
 }
 
-// Before: a single stop, not repeated in the 5 s during which the worker lists the run as running.
+// Without the fix: a single stop, not repeated in the 5 s during which the worker lists the run as running.
 TEST_CASE("a run that its worker still lists long after the stop is stopped again")
 {
     fixture f;
@@ -126,7 +126,7 @@
     CHECK(again > 0);
 }
 
-// Before: orders were sorted by run name, so a stop came after the starts of earlier jobs.
+// Without the fix: orders were sorted by run name, so a stop came after the starts of earlier jobs.
 TEST_CASE("stops go out before all other orders of a decision")
 {
     fixture f;
@@ -142,8 +142,8 @@
     CHECK(std::holds_alternative<stop_order>(f.orders.front()));
 }
 
-// Before: retried starts renewed the lease of a worker that answers nothing; with ten starts, runs that had
-// certainly ended after 6.2 s were written off after 18.5 s.
+// Without the fix: retried starts renewed the lease of a worker that answers nothing; with ten starts, runs
+// that had certainly ended after 6.2 s were written off after 18.5 s.
 TEST_CASE("retried starts don't delay the time at which a silent worker's runs have certainly lapsed")
 {
     fixture f;
@@ -186,8 +186,8 @@
     CHECK(took < 6500);
 }
 
-// Before: a rejected pace was resent in the next decision, also for a run being stopped, so the worker was
-// called without a pause and other orders to it were queued behind these calls.
+// Without the fix: a rejected pace was resent in the next decision, also for a run being stopped, so the
+// worker was called without a pause and other orders to it were queued behind these calls.
 TEST_CASE("a pace that a worker rejects is resent after a pause, and never for a run that is to be stopped")
 {
     fixture f;
@@ -234,8 +234,8 @@
 
 // ---- delivery to the worker --------------------------------------------------------------------
 
-// Before: the stop arrived after 2.0 s, behind twenty paces sent one after another; each unanswered pace cost
-// 0.7 s.
+// Without the fix: the stop arrived after 2.0 s, behind twenty paces sent one after another; each unanswered
+// pace cost 0.7 s.
 TEST_CASE("a stop doesn't wait behind other orders to its worker")
 {
     const slow_worker target(milliseconds(100));
@@ -272,8 +272,9 @@
     CHECK(*arrived - sent_at < exchange_timeout + milliseconds(400));
 }
 
-// Before: no answer. The loop runs again 0.9 s later, when the response has long arrived, and the timeout,
-// counted from when the order was handed over, ended the exchange as soon as the request was written.
+// Without the fix: no answer. The loop runs again 0.9 s later, when the response has long arrived, and the
+// timeout, counted from when the order was handed over, ended the exchange as soon as the request was
+// written.
 TEST_CASE("a leader with a delayed event loop doesn't count its own delay towards a worker's timeout")
 {
     const slow_worker target(milliseconds(5));
@@ -296,8 +297,8 @@
     CHECK(f.answers[0] == reply::done);
 }
 
-// All connections are new, as after a change of leader. Before: of 400 calls none was answered after one
-// delayed pass of the loop, and 102 after four.
+// All connections are new, as after a change of leader. Without the fix: of 400 calls none was answered after
+// one delayed pass of the loop, and 102 after four.
 TEST_CASE("a leader with a delayed event loop still receives the responses of a whole fleet")
 {
     constexpr std::uint32_t workers = 400;
@@ -321,8 +322,8 @@
 }
 
 // The leader's loop has other timers, and an io_context reads about 128 sockets per pass: a timer that is due
-// lets all expired timeouts run before the remaining responses are read. Before: 127 of 490 responses were
-// accepted.
+// lets all expired timeouts run before the remaining responses are read. Without the fix: 127 of 490
+// responses were accepted.
 TEST_CASE("a delayed leader with other timers still receives the responses that have arrived")
 {
     constexpr std::uint32_t workers = 490;
--- a/tests/src/unit-large_fleet.cpp
+++ b/tests/src/unit-large_fleet.cpp
@@ -87,10 +87,10 @@
     worker_view other(0.98);
     worker_view equal(0.98);
     worker_index index;
-    int evaluations = 0;
+    int list_calls = 0;
     const auto list_workers = [&]
     {
-        ++evaluations;
+        ++list_calls;
         return std::vector<indexed_worker>{{&one, 1, 100}, {&other, 3, 100}, {&equal, 1, 100}};
     };
     worker_ranking& found = index.find({task_kind::filler, 2}, list_workers);
@@ -100,13 +100,13 @@
     CHECK(found.at(3) == nullptr);
     CHECK(found.at(0)->worker == &other);
     (void)index.find({task_kind::filler, 2}, list_workers);
-    CHECK(evaluations == 1);
+    CHECK(list_calls == 1);
     (void)index.find({task_kind::filler, 3}, list_workers);
     (void)index.find({task_kind::starving_filler, 2}, list_workers);
-    CHECK(evaluations == 3);
+    CHECK(list_calls == 3);
     index.clear();
     (void)index.find({task_kind::filler, 2}, list_workers);
-    CHECK(evaluations == 4);
+    CHECK(list_calls == 4);
 }
 
 TEST_CASE("a filler ranking matches a full sort and evaluates no more workers than necessary")
--- a/tests/src/unit-leader_cost.cpp
+++ b/tests/src/unit-leader_cost.cpp
@@ -2,9 +2,9 @@
 /// @brief The processor time that leading a large fleet takes.
 ///
 /// Guards against cost that grows with the square of the fleet. With 490 workers and no fault, runs of
-/// lasting tasks lapsed one after another, most short tasks were late, and terms lasted 1 to 4 s; with
-/// idle processors nothing failed. Each response and each announcement of a worker triggered a
-/// decision; each decision iterated over all runs, and each placement over all tasks of all live steps and,
+/// lasting tasks lapsed one after another, most short tasks were late, and terms lasted 1 to 4 s; with idle
+/// processors nothing failed. Each response and each announcement of a worker triggered a decision; each
+/// decision iterated over all runs, and each placement over all tasks of all live steps and,
 /// for each waiting task, over all workers and their runs. The leader had no time left to renew leases, lost
 /// its own, and its successor began by polling all workers again. Measured before the fix: 697 us of
 /// processor time per start with 120 workers and 2397 us with 490, where 1000 starts per second on 0.4 of a
@@ -31,7 +31,7 @@
     INFO(of_small.us_per_start() << " us a start with 120 workers, " << of_large.us_per_start()
                                  << " us with 480");
     REQUIRE(of_large.starts > 3 * of_small.starts);
-    // A cost per start that is linear in the fleet size gives a factor of 4; cache misses alone give
+    // A cost per start that is linear in the fleet size gives a factor of 4; cache effects give
     // about 1.5.
     CHECK(of_large.us_per_start() < 2.5 * of_small.us_per_start());
 }
