--- a/tests/src/unit-leader_cost.cpp
+++ b/tests/src/unit-leader_cost.cpp
@@ -31,7 +31,7 @@
     INFO(of_small.us_per_start() << " us a start with 120 workers, " << of_large.us_per_start()
                                  << " us with 480");
     REQUIRE(of_large.starts > 3 * of_small.starts);
-    // A cost per start that is linear in the fleet size gives a factor of 4; cache effects give
+    // A cost per start that is linear in the fleet size gives a factor of 4; cache effects alone give
     // about 1.5.
     CHECK(of_large.us_per_start() < 2.5 * of_small.us_per_start());
 }
