--- a/tests/src/unit-logging.cpp
+++ b/tests/src/unit-logging.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Log lines are bounded and never hold the process up, whatever their reader does.
+/// @brief Log lines are limited in size and rate, and writing one never blocks the process.
 
 #include "plumspoke/logging/event.hpp"
 
@@ -13,18 +13,18 @@
 namespace
 {
 
-/// @brief Puts a pipe that nobody reads in the place of standard output, for as long as it lives.
-class stalled_output
+/// @brief Redirects standard output to a pipe without a reader until destruction.
+class unread_output
 {
   public:
-    stalled_output() : saved_(::dup(STDOUT_FILENO))
+    unread_output() : saved_(::dup(STDOUT_FILENO))
     {
         REQUIRE(::pipe(ends_) == 0);
         REQUIRE(::dup2(ends_[1], STDOUT_FILENO) >= 0);
     }
-    stalled_output(const stalled_output&) = delete;
-    stalled_output& operator=(const stalled_output&) = delete;
-    ~stalled_output()
+    unread_output(const unread_output&) = delete;
+    unread_output& operator=(const unread_output&) = delete;
+    ~unread_output()
     {
         ::dup2(saved_, STDOUT_FILENO);
         ::close(saved_);
@@ -32,18 +32,18 @@
         ::close(ends_[1]);
     }
 
-    /// @brief Fills the pipe up to `room` bytes from its end.
-    void fill(std::size_t room) const
+    /// @brief Fills the pipe until `free_bytes` bytes of it are free.
+    void fill(std::size_t free_bytes) const
     {
         const int size = ::fcntl(ends_[1], F_GETPIPE_SZ);
-        const std::string bytes(static_cast<std::size_t>(size) - room, '.');
+        const std::string bytes(static_cast<std::size_t>(size) - free_bytes, '.');
         REQUIRE(::write(ends_[1], bytes.data(), bytes.size()) == static_cast<ssize_t>(bytes.size()));
     }
 
-    /// @brief What was written behind the filling.
-    [[nodiscard]] std::string read(std::size_t most) const
+    /// @brief Reads at most `max_bytes` bytes from the pipe.
+    [[nodiscard]] std::string read(std::size_t max_bytes) const
     {
-        std::string out(most, '\0');
+        std::string out(max_bytes, '\0');
         const ssize_t got = ::read(ends_[0], out.data(), out.size());
         out.resize(got < 0 ? 0 : static_cast<std::size_t>(got));
         return out;
@@ -54,14 +54,14 @@
     int ends_[2] = {-1, -1};
 };
 
-std::string long_text()
+std::string oversized_text()
 {
     return std::string(3 * PIPE_BUF, 'x');
 }
 
 } // namespace
 
-TEST_CASE("a log line never waits for its reader")
+TEST_CASE("writing a log line never blocks on its reader")
 {
     logging::start_structured("test");
     const logging::dropped_lines before = logging::read_dropped();
@@ -69,9 +69,9 @@
     SECTION("a full pipe drops lines, and they are counted")
     {
         {
-            const stalled_output output;
+            const unread_output output;
             output.fill(0);
-            ::alarm(20); // a write that waits ends the test
+            ::alarm(20); // SIGALRM ends the test if a write blocks
             for (int i = 0; i < 10; ++i)
             {
                 logging::write(logging::event("test", "full_pipe", "Not read."));
@@ -80,23 +80,23 @@
         }
         CHECK(logging::read_dropped().not_writable == before.not_writable + 10);
     }
-    SECTION("a long line doesn't wait for the rest of its room")
+    SECTION("a long line doesn't block until the rest of it fits")
     {
         {
-            const stalled_output output;
+            const unread_output output;
             output.fill(PIPE_BUF);
             ::alarm(20);
-            logging::write(logging::event("test", "long_line", "Long.").with("path", long_text()));
+            logging::write(logging::event("test", "long_line", "Long.").with("path", oversized_text()));
             ::alarm(0);
         }
-        SUCCEED("it returned");
+        SUCCEED("the write returned");
     }
-    SECTION("a long text is cut, the line stays whole JSON")
+    SECTION("a long text is truncated and the line stays valid JSON")
     {
         std::string line;
         {
-            const stalled_output output;
-            logging::write(logging::event("test", "cut_text", "Cut.").with("path", long_text()));
+            const unread_output output;
+            logging::write(logging::event("test", "cut_text", "Cut.").with("path", oversized_text()));
             line = output.read(4 * PIPE_BUF);
         }
         CHECK(line.size() <= PIPE_BUF);
@@ -106,17 +106,17 @@
     }
 }
 
-TEST_CASE("an event's lines are bounded a second, and what is left out is counted")
+TEST_CASE("the lines of an event are rate-limited, and dropped lines are counted")
 {
     logging::start_structured("test");
     const logging::dropped_lines before = logging::read_dropped();
     {
-        const stalled_output output;
+        const unread_output output;
         for (int i = 0; i < 200; ++i)
         {
             logging::write(logging::event("test", "often", "Often."));
         }
     }
-    // 200 lines fall into two seconds at the most, each with a budget of 40.
+    // The 200 lines span at most two seconds, each with a budget of 40 lines.
     CHECK(logging::read_dropped().over_budget >= before.over_budget + 120);
 }
--- a/tests/src/unit-lost_listener.cpp
+++ b/tests/src/unit-lost_listener.cpp
@@ -1,11 +1,9 @@
 /// @file
-/// @brief A control VM that ran out of descriptors is reached again once it has some.
+/// @brief A control VM that ran out of file descriptors accepts connections again once some are free.
 ///
-/// Symptom: a former leader stood for election in its first term, alone, for 35 s; nobody could connect to
-/// it, until its process was started again. Sequence: the process uses its last descriptors; a peer connects;
-/// accept fails with "Too many open files"; the descriptors come free again; each further connection hangs.
-/// Cause: the gRPC library gives a listening socket up for good where accept fails, and only logs that.
-/// Settled by: the last line of that process's log before the first hanging connection, and by this test.
+/// Guards against a listener that stays dead: when accept fails with "Too many open files", the gRPC library
+/// abandons the listening socket for good and only logs that. Every later connection hangs, also after
+/// descriptors are free again; a former leader was unreachable in this way for 35 s, until its restart.
 
 #include "plumspoke/job_server/control_server.hpp"
 
@@ -26,43 +24,43 @@
 namespace
 {
 
-/// @brief Lowers this process's limit of descriptors, and takes all that are left; puts both back at the end.
-class no_descriptors
+/// @brief Lowers the file descriptor limit of this process and opens all that remain; undone on destruction.
+class descriptor_exhaustion
 {
   public:
-    explicit no_descriptors(rlim_t limit)
+    explicit descriptor_exhaustion(rlim_t limit)
     {
         REQUIRE(::getrlimit(RLIMIT_NOFILE, &before_) == 0);
         const rlimit low{limit, before_.rlim_max};
         REQUIRE(::setrlimit(RLIMIT_NOFILE, &low) == 0);
         for (int one = ::open("/dev/null", O_RDONLY); one >= 0; one = ::open("/dev/null", O_RDONLY))
         {
-            taken_.push_back(one);
+            opened_.push_back(one);
         }
     }
-    no_descriptors(const no_descriptors&) = delete;
-    no_descriptors& operator=(const no_descriptors&) = delete;
-    ~no_descriptors()
+    descriptor_exhaustion(const descriptor_exhaustion&) = delete;
+    descriptor_exhaustion& operator=(const descriptor_exhaustion&) = delete;
+    ~descriptor_exhaustion()
     {
-        std::for_each(taken_.begin(), taken_.end(), &::close);
+        std::for_each(opened_.begin(), opened_.end(), &::close);
         (void)::setrlimit(RLIMIT_NOFILE, &before_);
     }
 
   private:
     rlimit before_{};
-    std::vector<int> taken_;
+    std::vector<int> opened_;
 };
 
-bool answers(const std::string& address, milliseconds limit)
+bool responds(const std::string& address, milliseconds limit)
 {
     job_server::control_channel to(address);
     grpc::ClientContext context;
     job_server::set_timeout(context, limit);
     wire::LeaderAnswer answer;
-    const time_point begun = std::chrono::steady_clock::now();
+    const time_point started = std::chrono::steady_clock::now();
     const grpc::Status status = to.stub().Leader(&context, {}, &answer);
-    const auto took = std::chrono::duration_cast<milliseconds>(std::chrono::steady_clock::now() - begun);
-    UNSCOPED_INFO("asked for " << took.count() << " ms: code " << status.error_code() << ", "
+    const auto took = std::chrono::duration_cast<milliseconds>(std::chrono::steady_clock::now() - started);
+    UNSCOPED_INFO("call took " << took.count() << " ms: code " << status.error_code() << ", "
                                << status.error_message());
     return status.ok();
 }
@@ -75,7 +73,7 @@
 
 } // namespace
 
-TEST_CASE("a process that had no descriptors left for a moment is reached again")
+TEST_CASE("a process accepts connections again after it ran out of file descriptors")
 {
     std::string folder = (std::filesystem::temp_directory_path() / "plumspoke-listener-XXXXXX").string();
     REQUIRE(::mkdtemp(folder.data()) != nullptr);
@@ -88,23 +86,23 @@
     };
     job_server::control_server server(settings, no_seeds, operators, workers);
     REQUIRE_FALSE(server.start());
-    REQUIRE(answers(settings.internal, milliseconds(2000)));
-    const int waiting = ::socket(AF_INET, SOCK_STREAM, 0);
+    REQUIRE(responds(settings.internal, milliseconds(2000)));
+    const int pending = ::socket(AF_INET, SOCK_STREAM, 0);
     {
         constexpr rlim_t spare = 8;
-        const no_descriptors none(static_cast<rlim_t>(open_files()) + spare);
+        const descriptor_exhaustion exhausted(static_cast<rlim_t>(open_files()) + spare);
         sockaddr_in to{};
         to.sin_family = AF_INET;
         to.sin_port = htons(static_cast<std::uint16_t>(std::stoi(settings.internal.substr(10))));
         to.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-        REQUIRE(::connect(waiting, reinterpret_cast<const sockaddr*>(&to), sizeof to) == 0);
+        REQUIRE(::connect(pending, reinterpret_cast<const sockaddr*>(&to), sizeof to) == 0);
         std::this_thread::sleep_for(milliseconds(300)); // accept fails meanwhile
     }
-    ::close(waiting);
+    ::close(pending);
     REQUIRE(job_server::failed_accepts() > 0);
-    // Two looks of the process at itself, and the old server's end.
+    // Covers two periods of the process's check for failed accepts and the shutdown of the old server.
     std::this_thread::sleep_for(milliseconds(1000));
-    CHECK(answers(settings.internal, milliseconds(1000)));
+    CHECK(responds(settings.internal, milliseconds(1000)));
     server.stop();
     std::filesystem::remove_all(folder);
 }
--- a/tests/src/unit-owed_starts.cpp
+++ b/tests/src/unit-owed_starts.cpp
@@ -1,16 +1,13 @@
 /// @file
-/// @brief A leader of 1,800 workers starts what is owed, on the processor that it has.
+/// @brief A leader of 1,800 workers keeps up with the task starts that are due on its share of a processor.
 ///
-/// On days of 2,980 owed starts a second marking runs earned a fifth of their worth, though no control VM was
-/// harmed: half of them ended 20 s after they were handed in. From the tenth second on each placement was cut
-/// short at its limit, five to nine came a second, and of 1,300 to 5,500 steps of fillers that had no turn in
-/// a second not one had found no worker: room lay free. The leader used 0.58 of its 0.6 processors; 3,900
-/// polls a second took two fifths of that, three quarters of them asked workers where nothing was near its
-/// target, and placements another quarter, half of it for an order of all workers by each of 30 images. What
-/// waits is ranked in each placement, so a leader that had fallen behind fell further. A larger limit alone
-/// made it worse: decisions of a fifth of a second, and six terms ended for want of a lease. Settled by the
-/// line `placements` (second 24: 6 placements, 6 cut short, filler_tasks_waiting 11195,
-/// filler_steps_without_turn 2036, filler_steps_without_worker 0, filler_granted 1272) and a profile.
+/// Guards against a leader that falls behind at 2,980 due starts a second although workers are free: half of
+/// the marking runs then ended 20 s after submission, and they earned a fifth of their worth. Each placement
+/// was cut short at its time limit, and only five to nine ran a second. The leader used 0.58 of its 0.6
+/// processors: two fifths for 3,900 polls a second, three quarters of which asked workers with nothing near
+/// its target, and a quarter for placements, half of that for sorting all workers by each of 30 images. Each
+/// placement ranks all waiting work, so a backlog slows the next placement. A larger time limit alone made it
+/// worse: decisions took a fifth of a second, and six terms ended for want of a lease.
 
 #include "busy_fleet.hpp"
 
@@ -25,13 +22,13 @@
 namespace
 {
 
-constexpr int played_s = 18;
-constexpr double owed_per_s = 2700; // first and second steps of what comes
+constexpr int duration_s = 18;
+constexpr double due_starts_per_s = 2700; // tasks of the first and second steps of arriving runs
 
-struct seen
+struct play_result
 {
     busy_outcome outcome;
-    std::ptrdiff_t waiting = 0; // tasks, also of steps that wait for another one
+    std::ptrdiff_t waiting = 0; // tasks, including those of steps that depend on an unfinished step
 };
 
 std::ptrdiff_t count_waiting(const jobs::store& state)
@@ -55,30 +52,30 @@
     return waiting;
 }
 
-seen play(double processor)
+play_result play(double processor)
 {
     busy_load load = busy_load::of_wide_steps(1800);
-    load.lasting_jobs_at_once = 0.15; // half of the fleet stays free: room isn't what tasks wait for
+    load.lasting_jobs_at_once = 0.15; // leaves half of the fleet free, so that capacity isn't the bottleneck
     load.harm_of_fillers = 0;
     load.processor = processor;
-    load.call_cost = std::chrono::microseconds(20); // an order, or an answer; by profile of such a leader
+    load.call_cost = std::chrono::microseconds(20); // per order or response; from a profile of such a leader
     busy_fleet fleet(load);
-    seen out;
-    out.outcome = fleet.run(seconds(played_s));
-    out.waiting = count_waiting(fleet.state());
-    return out;
+    play_result result;
+    result.outcome = fleet.run(seconds(duration_s));
+    result.waiting = count_waiting(fleet.state());
+    return result;
 }
 
 } // namespace
 
-TEST_CASE("a leader's processor holds back less than a second of what is owed")
+TEST_CASE("a leader's processor limit delays less than one second of due task starts")
 {
-    const seen free = play(0);
-    // Of its 0.6 processors a quarter goes to peers and callers.
-    const seen leader = play(0.45);
-    INFO(leader.waiting << " tasks wait, " << free.waiting << " where the processor is free; "
-                        << leader.outcome.done << " and " << free.outcome.done << " done, "
-                        << leader.outcome.decisions << " decisions");
-    CHECK(static_cast<double>(leader.waiting - free.waiting) < owed_per_s);
-    CHECK(leader.outcome.lapsed == 0);
+    const play_result unlimited = play(0);
+    // A quarter of the leader's 0.6 processors serves peers and callers.
+    const play_result limited = play(0.45);
+    INFO(limited.waiting << " tasks wait with a limited processor, " << unlimited.waiting
+                         << " with an unlimited one; " << limited.outcome.done << " and "
+                         << unlimited.outcome.done << " done, " << limited.outcome.decisions << " decisions");
+    CHECK(static_cast<double>(limited.waiting - unlimited.waiting) < due_starts_per_s);
+    CHECK(limited.outcome.lapsed == 0);
 }
--- a/tests/src/unit-owed_work.cpp
+++ b/tests/src/unit-owed_work.cpp
@@ -1,5 +1,6 @@
 /// @file
-/// @brief A leader of 1,800 workers, on the processor that it has, does as much work as one that keeps up.
+/// @brief A leader of 1,800 workers with a limited processor completes nearly as much work as an unlimited
+/// one.
 
 #include "busy_fleet.hpp"
 
@@ -17,19 +18,19 @@
 {
     busy_load load = busy_load::of_wide_steps(1800);
     load.processor = processor;
-    load.call_cost = std::chrono::microseconds(20); // an order, or an answer; by profile of such a leader
+    load.call_cost = std::chrono::microseconds(20); // per order or response; from a profile of such a leader
     return busy_fleet(load).run(seconds(18));
 }
 
 } // namespace
 
-TEST_CASE("a leader gets nearly as much done as one whose processor is free")
+TEST_CASE("a leader with a limited processor completes nearly as many tasks as an unlimited one")
 {
-    const busy_outcome free = play(0);
-    // Of its 0.6 processors a quarter goes to peers and callers.
-    const busy_outcome leader = play(0.45);
-    INFO(leader.done << " tasks done of " << free.done << ", " << leader.polls << " polls, "
-                     << leader.decisions << " decisions");
-    CHECK(static_cast<double>(leader.done) > 0.95 * static_cast<double>(free.done));
-    CHECK(leader.lapsed == 0);
+    const busy_outcome unlimited = play(0);
+    // A quarter of the leader's 0.6 processors serves peers and callers.
+    const busy_outcome limited = play(0.45);
+    INFO(limited.done << " tasks done of " << unlimited.done << ", " << limited.polls << " polls, "
+                      << limited.decisions << " decisions");
+    CHECK(static_cast<double>(limited.done) > 0.95 * static_cast<double>(unlimited.done));
+    CHECK(limited.lapsed == 0);
 }
--- a/tests/src/unit-replaced_process.cpp
+++ b/tests/src/unit-replaced_process.cpp
@@ -1,9 +1,10 @@
 /// @file
-/// @brief A report that comes late from a worker's process which was replaced changes nothing.
+/// @brief A delayed report from a replaced worker process changes nothing.
 ///
-/// A process is told from the next one of its worker by its incarnation alone, which has no order. A report
-/// that had been held up on its way until the next process had reported was taken for yet another process:
-/// the jobs of the one that lives were written off and granted elsewhere, while it worked on them.
+/// Processes of a worker are distinguished only by their incarnation, which has no order. A report that
+/// arrives after the first report of the next process could therefore be mistaken for one of a third process:
+/// the jobs of the running process would be considered lost and granted to other workers while it still
+/// executes them.
 
 #include "control_fixture.hpp"
 #include "plumspoke/worker/error.hpp"
@@ -21,7 +22,7 @@
 
 struct report_fixture : fixture
 {
-    std::error_code hear(const std::string& incarnation, std::uint64_t sequence)
+    std::error_code receive_report(const std::string& incarnation, std::uint64_t sequence)
     {
         worker::report received;
         received.worker = "w1";
@@ -29,9 +30,9 @@
         received.sequence = sequence;
         received.capacity = {8'000, 32'000, 0};
         std::error_code error;
-        for (const command& one : lease_manager.receive(start, state, received, error).commands)
+        for (const command& next : lease_manager.receive(start, state, received, error).commands)
         {
-            (void)apply(one);
+            (void)apply(next);
         }
         return error;
     }
@@ -41,33 +42,33 @@
 
 } // namespace
 
-TEST_CASE("a late report of a process that was replaced is refused")
+TEST_CASE("a delayed report of a replaced process is rejected")
 {
     report_fixture f;
     f.lease_manager.reset(start);
-    CHECK_FALSE(f.hear("1", 40));
-    CHECK_FALSE(f.hear("second", 1));
+    CHECK_FALSE(f.receive_report("1", 40));
+    CHECK_FALSE(f.receive_report("second", 1));
     (void)f.submit("job");
     (void)f.apply(place_task{"job", "w1", "second", {1'000, 1'000, 0}, "test"});
-    CHECK_FALSE(f.hear("second", 2));
+    CHECK_FALSE(f.receive_report("second", 2));
     const bool leader_changes = GENERATE(false, true);
     if (leader_changes)
     {
         f.lease_manager.reset(start);
     }
-    CHECK(f.hear("1", 41) == worker::errc::old_sequence);
+    CHECK(f.receive_report("1", 41) == worker::errc::old_sequence);
     CHECK(f.state.workers.at("w1").incarnation == "second");
     CHECK(f.state.jobs.at("job").phase != job_phase::pending);
-    CHECK_FALSE(f.hear("second", 3));
+    CHECK_FALSE(f.receive_report("second", 3));
 }
 
-TEST_CASE("a replaced process stays so over a snapshot")
+TEST_CASE("a process is still known as replaced after a snapshot is restored")
 {
     report_fixture f;
     f.lease_manager.reset(start);
-    CHECK_FALSE(f.hear("1", 40));
-    CHECK_FALSE(f.hear("second", 1));
+    CHECK_FALSE(f.receive_report("1", 40));
+    CHECK_FALSE(f.receive_report("second", 1));
     f.state = nlohmann::json(f.state).get<control_state>();
     f.lease_manager.reset(start);
-    CHECK(f.hear("1", 41) == worker::errc::old_sequence);
+    CHECK(f.receive_report("1", 41) == worker::errc::old_sequence);
 }
--- a/tests/src/unit-short_tasks_in_time.cpp
+++ b/tests/src/unit-short_tasks_in_time.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-constexpr double floor_of_worth = 0.26; // of short tasks on the users' days
+constexpr double min_worth = 0.26; // lowest accepted worth of short tasks in the users' workloads
 
 busy_load large_fleet()
 {
@@ -26,8 +26,8 @@
 
 } // namespace
 
-// Room is free throughout: what is late here waited for the leader.
-TEST_CASE("short tasks don't become late behind batch work after a leader was lost")
+// Workers have free capacity throughout, so any late task was delayed by the leader.
+TEST_CASE("batch work doesn't delay short tasks past their deadline after the loss of a leader")
 {
     busy_fleet fleet(large_fleet());
     fleet.lose_leader(seconds(5), milliseconds(3500));
@@ -35,5 +35,5 @@
     const short_job_counts jobs = fleet.count_short_jobs(seconds(4), seconds(18));
     INFO(jobs.in_time << " in time, " << jobs.late << " late, " << jobs.missed << " missed; " << outcome.done
                       << " tasks done");
-    CHECK(jobs.worth() >= 2 * floor_of_worth);
+    CHECK(jobs.worth() >= 2 * min_worth);
 }
--- a/tests/src/unit-stopping_entry.cpp
+++ b/tests/src/unit-stopping_entry.cpp
@@ -1,11 +1,11 @@
 /// @file
-/// @brief Requests that reach an entry on open connections while it stops.
+/// @brief An entry that is shutting down answers the requests that arrive on open connections.
 
 #include "stopping_entry_fixture.hpp"
 
 using namespace plumspoke;
 
-TEST_CASE("a request taken while an entry stops is answered before the stop ends")
+TEST_CASE("a request received during the shutdown of an entry is answered before it completes")
 {
     test::stopping_entry entry;
     entry.stop();
--- a/tests/src/unit-vm_list.cpp
+++ b/tests/src/unit-vm_list.cpp
@@ -2,7 +2,7 @@
 
 #include <catch2/catch.hpp>
 
-TEST_CASE("the platform's list")
+TEST_CASE("the VM list of the platform")
 {
     using namespace plumspoke::vm_list;
     list_cache cache;
@@ -11,12 +11,12 @@
     CHECK(cache.is_leaving("w2"));
     CHECK_FALSE(cache.is_leaving("w1"));
 
-    SECTION("is replaced by a newer one")
+    SECTION("is replaced by a newer version")
     {
         CHECK_FALSE(cache.update(R"({"version": 6, "vms": [{"name": "w1", "state": "leaving"}]})"));
         CHECK(cache.is_leaving("w1"));
     }
-    SECTION("stays in force, whatever is wrong with the next one")
+    SECTION("is kept when an update is invalid or unavailable")
     {
         CHECK(cache.update(R"({"version": 6, "vms": []})") == errc::empty);
         CHECK(cache.update(R"({"version": 4, "vms": [{"name": "w2", "state": "live"}]})") == errc::older);
