--- a/tests/src/unit-reborn_workers.cpp
+++ b/tests/src/unit-reborn_workers.cpp
@@ -1,11 +1,11 @@
 /// @file
-/// @brief Work among workers that crash and start again under their id: all of it runs once, and ends.
+/// @brief All work runs once and ends although workers crash and restart under the same id.
 ///
-/// A new life of a worker counts its ends, its announcements and its clock anew. A leader that held them
-/// against those of the life before left ends unread, and started tasks again that were done
-/// (unit-worker_lives). Here lives follow each other within the gap between two polls and after it, with a
-/// time of birth that may be before that of the earlier life, as another kind and at another address, while
-/// starts come seconds late.
+/// A restarted worker begins again with its numbering of finished runs, its announcement sequence and its
+/// clock. A leader that compares these with the values from before the restart misses finished runs and
+/// starts completed tasks again (see unit-worker_lives). Here workers restart within the gap between two
+/// polls and later, possibly with an earlier birth time, another kind and another address, while start orders
+/// are delayed by seconds.
 
 #include "task_world.hpp"
 
@@ -19,7 +19,7 @@
 namespace
 {
 
-task_faults reborn()
+task_faults restarting_workers()
 {
     task_faults faults;
     faults.same_id = 1;
@@ -28,21 +28,21 @@
     return faults;
 }
 
-void check(std::uint64_t seed, const task_faults& faults)
+void check_seed(std::uint64_t seed, const task_faults& faults)
 {
     task_world world(seed, faults);
     world.submit_random(60, seconds(18));
-    const task_outcome seen = world.run(seconds(60), 8);
-    INFO("seed " << seed << ", " << seen.starts << " starts, " << seen.workers_crashed << " lives ended, "
-                 << seen.leaders << " leaders");
-    for (const std::string& one : seen.broken)
+    const task_outcome outcome = world.run(seconds(60), 8);
+    INFO("seed " << seed << ", " << outcome.starts << " starts, " << outcome.workers_crashed
+                 << " worker crashes, " << outcome.leaders << " leaders");
+    for (const std::string& one : outcome.broken)
     {
         UNSCOPED_INFO(one);
     }
-    CHECK(seen.broken.empty());
-    CHECK(seen.open == 0);
-    CHECK(seen.completed > 0);
-    CHECK(seen.workers_crashed > 0);
+    CHECK(outcome.broken.empty());
+    CHECK(outcome.open == 0);
+    CHECK(outcome.completed > 0);
+    CHECK(outcome.workers_crashed > 0);
 }
 
 void check_seeds(std::uint64_t first, const task_faults& faults)
@@ -50,17 +50,17 @@
     constexpr std::uint64_t seeds = 8;
     for (std::uint64_t seed = first; seed < first + seeds; ++seed)
     {
-        check(seed, faults);
+        check_seed(seed, faults);
     }
 }
 
 } // namespace
 
-TEST_CASE("work runs once and ends where workers start again under their id")
+TEST_CASE("work runs once and ends when workers restart under the same id")
 {
-    task_faults faults = reborn();
+    task_faults faults = restarting_workers();
 
-    SECTION("after some seconds")
+    SECTION("after several seconds")
     {
         check_seeds(1100, faults);
     }
@@ -70,14 +70,14 @@
         faults.down_most = milliseconds(300);
         check_seeds(1200, faults);
     }
-    SECTION("while orders are carried out late and answers are lost")
+    SECTION("while orders are delayed and responses are lost")
     {
         faults.down_least = milliseconds(1);
         faults.late_orders = 0.08;
         faults.lost_answers = 0.05;
         check_seeds(1300, faults);
     }
-    SECTION("while workers are cut off and run on")
+    SECTION("while workers lose their connection and keep running")
     {
         faults.cuts_per_s = 0.05;
         check_seeds(1400, faults);
@@ -88,12 +88,12 @@
         faults.leader_changes_per_s = 0.2;
         check_seeds(1500, faults);
     }
-    SECTION("some of them, while the others come back under another id")
+    SECTION("while other workers restart under a new id")
     {
         faults.same_id = 0.5;
         check_seeds(1600, faults);
     }
-    SECTION("while everything goes wrong at once")
+    SECTION("with all faults combined")
     {
         faults.down_least = milliseconds(1);
         faults.late_orders = 0.04;
@@ -107,7 +107,7 @@
     }
 }
 
-TEST_CASE("a task that crashes its workers is given up where they start again under their id")
+TEST_CASE("a task that crashes its workers fails when they restart under the same id")
 {
     task_faults faults;
     faults.same_id = 1;
@@ -118,25 +118,25 @@
     for (std::uint64_t seed = 1800; seed < 1808; ++seed)
     {
         task_world world(seed, faults);
-        jobs::job_spec sound;
-        sound.steps.emplace_back();
-        sound.steps[0].task_count = 8;
-        sound.steps[0].needs = {1600, 1000, 0};
+        jobs::job_spec spec;
+        spec.steps.emplace_back();
+        spec.steps[0].task_count = 8;
+        spec.steps[0].needs = {1600, 1000, 0};
         for (int i = 0; i < 60; ++i)
         {
-            world.submit(milliseconds(300) * i, sound, "sound" + std::to_string(i));
+            world.submit(milliseconds(300) * i, spec, "sound" + std::to_string(i));
         }
-        world.submit(seconds(2), sound, "guilty");
+        world.submit(seconds(2), spec, "guilty");
         world.make_crashing({"guilty", 0, 0, 0});
-        const task_outcome seen = world.run(seconds(90), 12);
-        INFO("seed " << seed << ", " << seen.workers_crashed << " lives ended");
-        for (const std::string& one : seen.broken)
+        const task_outcome outcome = world.run(seconds(90), 12);
+        INFO("seed " << seed << ", " << outcome.workers_crashed << " worker crashes");
+        for (const std::string& one : outcome.broken)
         {
             UNSCOPED_INFO(one);
         }
-        CHECK(seen.broken.empty());
+        CHECK(outcome.broken.empty());
         CHECK(world.state().find("guilty")->phase == jobs::job_phase::failed);
-        CHECK(seen.sound_failed == 0);
-        CHECK(seen.open == 0);
+        CHECK(outcome.sound_failed == 0);
+        CHECK(outcome.open == 0);
     }
 }
--- a/tests/src/unit-settings.cpp
+++ b/tests/src/unit-settings.cpp
@@ -11,24 +11,24 @@
 using namespace plumspoke::settings;
 using nlohmann::json;
 
-json good_control()
+json valid_control()
 {
     return json::parse(R"({"role": "control", "name": "c1", "availability_zone": "nangang",
         "http": "127.0.0.1:7101", "grpc": "127.0.0.1:7201", "data_folder": "data/c1",
         "control": [{"name": "c1", "grpc": "127.0.0.1:7201", "http": "127.0.0.1:7101"}]})");
 }
 
-std::vector<fault> faults_of(const json& document)
+std::vector<fault> find_faults(const json& document)
 {
     std::vector<fault> faults;
     (void)parse_process_settings(document, faults);
     return faults;
 }
 
-/// The one fault of a good document with one thing changed.
+/// @brief Returns the only fault of a document; requires that there is just one.
 fault only_fault(const json& document)
 {
-    const std::vector<fault> faults = faults_of(document);
+    const std::vector<fault> faults = find_faults(document);
     REQUIRE(faults.size() == 1);
     return faults.front();
 }
@@ -37,9 +37,9 @@
 
 TEST_CASE("settings")
 {
-    json document = good_control();
+    json document = valid_control();
 
-    SECTION("that are good have no fault, and defaults")
+    SECTION("that are valid have no faults and get the defaults")
     {
         std::vector<fault> faults;
         const process_settings settings = parse_process_settings(document, faults);
@@ -51,73 +51,73 @@
             CHECK(key.default_value <= key.allowed.highest);
         }
     }
-    SECTION("with an unknown key name its path")
+    SECTION("with an unknown key report its path")
     {
         document["limits"]["http_treads"] = 8;
         CHECK(only_fault(document) == fault{"/limits/http_treads", "is not a known key"});
     }
-    SECTION("with a wrong type name its path")
+    SECTION("with a value of the wrong type report its path")
     {
         document["limits"]["http_threads"] = "eight";
         CHECK(only_fault(document) == fault{"/limits/http_threads", "must be a whole number"});
     }
-    SECTION("with a section that is no object name its path")
+    SECTION("with a section that is not an object report its path")
     {
         document["limits"] = json::array();
         CHECK(only_fault(document).path == "/limits");
     }
-    SECTION("out of range name the range, on both ends of each key")
+    SECTION("out of range at either end report the path of the key")
     {
         for (const integer_key& key : integer_keys())
         {
             for (const std::int64_t value : {key.allowed.lowest - 1, key.allowed.highest + 1})
             {
-                json changed = good_control();
+                json changed = valid_control();
                 changed[key.section][key.key] = value;
                 CHECK(only_fault(changed).path == std::string("/") + key.section + "/" + key.key);
             }
         }
     }
-    SECTION("with a number beyond 64 bits are out of range, not wrapped")
+    SECTION("with a number beyond the signed 64-bit range are out of range instead of wrapping around")
     {
         document["limits"]["http_threads"] = std::uint64_t(18446744073709551615U);
         CHECK(only_fault(document).path == "/limits/http_threads");
     }
-    SECTION("with something missing name it")
+    SECTION("with a missing key report it")
     {
         document.erase("grpc");
         CHECK(only_fault(document) == fault{"/grpc", "is missing"});
     }
-    SECTION("with a bad address name it")
+    SECTION("with an invalid address report it")
     {
         document["http"] = "127.0.0.1:99999";
         CHECK(only_fault(document) == fault{"/http", "must be IP:PORT"});
     }
-    SECTION("that contradict each other name the place")
+    SECTION("that contradict each other report the path")
     {
         document["timing"]["heartbeat_ms"] = 500;
         CHECK(only_fault(document).path == "/timing/heartbeat_ms");
-        document = good_control();
+        document = valid_control();
         document["control"][0]["http"] = "127.0.0.1:7102";
         CHECK(only_fault(document).path == "/http");
-        document = good_control();
+        document = valid_control();
         document["control"].push_back(document["control"][0]);
         CHECK(only_fault(document).path == "/control/1");
     }
-    SECTION("of an entry with a data folder contradict its role")
+    SECTION("of an entry must not have a data folder")
     {
         document["role"] = "entry";
         document.erase("grpc");
         CHECK(only_fault(document).path == "/data_folder");
     }
-    SECTION("with several faults name each")
+    SECTION("with several faults report each of them")
     {
         document["role"] = "both";
         document["verbose"] = 1;
         document.erase("name");
-        CHECK(faults_of(document).size() >= 3);
+        CHECK(find_faults(document).size() >= 3);
     }
-    SECTION("that are not JSON say at which byte")
+    SECTION("that are not JSON report the byte offset")
     {
         std::vector<fault> faults;
         (void)parse_text("{\"role\": ", faults);
@@ -126,7 +126,7 @@
     }
 }
 
-TEST_CASE("the docs hold the program's own tables")
+TEST_CASE("the documentation contains the generated tables")
 {
     const auto page = [](const std::string& name)
     {
--- a/tests/src/unit-thread_budget.cpp
+++ b/tests/src/unit-thread_budget.cpp
@@ -1,10 +1,9 @@
 /// @file
-/// @brief Threads for connections, and connections to workers, by what a VM has.
+/// @brief The numbers of HTTP threads and worker connections follow from the resources of the VM.
 ///
-/// Symptom: 152 daemons on one machine didn't start: "operation would block" for a process.
-/// Sequence: each daemon started 256 threads for connections before the first one came.
-/// Cause: one number for all VMs, taken from the largest need of any role; 152 daemons came to 46,000
-/// threads, and the machine numbers 32,768.
+/// Guards against a fixed thread count for all VMs, sized for the most demanding role: each process started
+/// 256 connection threads up front, so 152 processes on one machine needed 46,000 threads. The machine allows
+/// 32,768, and processes failed to start with "operation would block".
 
 #include "plumspoke/settings/job_settings.hpp"
 
@@ -25,7 +24,7 @@
         "vm":{"processors":0.12,"memory_mb":160,"open_files":4100}})");
 }
 
-std::vector<fault> faults_of(const nlohmann::json& document)
+std::vector<fault> find_faults(const nlohmann::json& document)
 {
     std::vector<fault> faults;
     (void)parse_job_settings(document, faults);
@@ -34,71 +33,71 @@
 
 } // namespace
 
-TEST_CASE("threads follow the processor of the VM and the role")
+TEST_CASE("the number of threads follows from the role and the processors of the VM")
 {
     CHECK(recommended_http_threads(process_role::entry, small_entry) == 24);
     CHECK(recommended_http_threads(process_role::entry, {0.25, 260, 4100}) == 50);
     CHECK(recommended_http_threads(process_role::control, control_vm) == 48);
     CHECK(recommended_http_threads(process_role::entry, {0.01, 160, 4100}) == 16);
     CHECK(recommended_http_threads(process_role::entry, {8, 16'000, 65'536}) == 256);
-    // Where nothing is told of the VM.
+    // The limits of the VM are unknown.
     CHECK(recommended_http_threads(process_role::control, {}) == 64);
 }
 
-TEST_CASE("threads stay within the VM's memory and descriptors")
+TEST_CASE("the number of threads is limited by the memory and the descriptors of the VM")
 {
     CHECK(max_http_threads({2, 8, 4096}) == 8);
     CHECK(recommended_http_threads(process_role::entry, {2, 8, 4096}) == 8);
     CHECK(max_http_threads({2, 8000, 80}) == 10);
 }
 
-TEST_CASE("peers keep descriptors that workers' connections can't take")
+TEST_CASE("worker connections leave descriptors for peers")
 {
-    CHECK(max_worker_connections(control_vm) == 4015); // two for each of 1,800 workers are 3,600
+    CHECK(max_worker_connections(control_vm) == 4015); // 1,800 workers need two each, 3,600
     CHECK(max_worker_connections({}) == 0);
 }
 
-TEST_CASE("the settings name the VM, or the number itself")
+TEST_CASE("the settings give the limits of the VM or the number of threads")
 {
     std::vector<fault> faults;
     CHECK(parse_job_settings(entry_document(), faults).http_threads == 24);
     CHECK(parse_job_settings(entry_document(), faults).vm == small_entry);
-    nlohmann::json named = entry_document();
-    named["limits"] = {{"http_threads", 40}};
-    CHECK(parse_job_settings(named, faults).http_threads == 40);
+    nlohmann::json with_limits = entry_document();
+    with_limits["limits"] = {{"http_threads", 40}};
+    CHECK(parse_job_settings(with_limits, faults).http_threads == 40);
     CHECK(faults.empty());
 }
 
-TEST_CASE("limits that can't be are refused with their place")
+TEST_CASE("invalid limits are rejected with their path")
 {
-    nlohmann::json wrong = entry_document();
+    nlohmann::json invalid = entry_document();
     SECTION("more threads than the memory allows")
     {
-        wrong["limits"] = {{"http_threads", 400}};
-        CHECK(faults_of(wrong) ==
+        invalid["limits"] = {{"http_threads", 400}};
+        CHECK(find_faults(invalid) ==
               std::vector<fault>{{"/limits/http_threads",
                                   "must be 160 at the most with the memory and the descriptors under vm"}});
     }
-    SECTION("no threads")
+    SECTION("zero threads")
     {
-        wrong["limits"] = {{"http_threads", 0}};
-        REQUIRE(faults_of(wrong).size() == 1);
-        CHECK(faults_of(wrong).front().path == "/limits/http_threads");
+        invalid["limits"] = {{"http_threads", 0}};
+        REQUIRE(find_faults(invalid).size() == 1);
+        CHECK(find_faults(invalid).front().path == "/limits/http_threads");
     }
-    SECTION("a VM without room for any")
+    SECTION("a VM with too little memory for the minimum")
     {
-        wrong["vm"]["memory_mb"] = 3;
-        CHECK(faults_of(wrong) ==
+        invalid["vm"]["memory_mb"] = 3;
+        CHECK(find_faults(invalid) ==
               std::vector<fault>{{"/vm", "leaves room for 3 threads; at least 4 are needed"}});
     }
-    SECTION("a VM with less than nothing")
+    SECTION("a negative number of processors")
     {
-        wrong["vm"]["processors"] = -1;
-        CHECK(faults_of(wrong).front().path == "/vm/processors");
+        invalid["vm"]["processors"] = -1;
+        CHECK(find_faults(invalid).front().path == "/vm/processors");
     }
-    SECTION("a key that is not known")
+    SECTION("an unknown key")
     {
-        wrong["vm"]["cores"] = 1;
-        CHECK(faults_of(wrong).front().path == "/vm/cores");
+        invalid["vm"]["cores"] = 1;
+        CHECK(find_faults(invalid).front().path == "/vm/cores");
     }
 }
