--- a/tests/src/unit-waiting_jobs.cpp
+++ b/tests/src/unit-waiting_jobs.cpp
@@ -1,13 +1,13 @@
 /// @file
-/// @brief How many jobs wait: an order on its way to a worker is not yet a task that has begun.
+/// @brief The number of waiting jobs includes those whose start order hasn't begun a task on a worker yet.
 ///
-/// Symptom: on a large fleet a queue said that 8 jobs wait, while 23 had waited for five seconds.
-/// Sequence: the leader records a grant, then sends the start. Where the worker is silent, or the leader has
-/// no processor time for the order, nothing begins until its lease of 4 s has lapsed. The next grant of the
-/// task goes the same way. Cause: a job counted as begun, for good, from the record of its first grant;
-/// neither a start that was rejected nor one that lapsed without an answer took that back. What settled it:
-/// 23 jobs and one worker with room for 16, which answers polls and no start. The record of the grants alone
-/// made 7 of the 23 count as waiting, and so it stayed when all 16 runs had ended unbegun.
+/// Guards against a queue that reports 8 waiting jobs while 23 have waited for five seconds. The leader
+/// records a grant and then sends the start. If the worker doesn't respond, or the leader has no processor
+/// time to send the order, nothing runs until the lease of 4 s expires, and the next grant may fail in the
+/// same way. A job once counted as begun, for good, from the record of its first grant; neither a rejected
+/// start nor one that expired without an answer reverted that. With 23 jobs and one worker with capacity for
+/// 16 that answers polls but no starts, only 7 of the 23 counted as waiting, even after all 16 runs had ended
+/// without beginning.
 
 #include "dispatcher_fixture.hpp"
 
@@ -18,31 +18,31 @@
 namespace
 {
 
-constexpr std::size_t jobs_handed_in = 23;
-constexpr std::size_t granted_at_once = 16; // the worker's cores
+constexpr std::size_t submitted_jobs = 23;
+constexpr std::size_t initial_grants = 16; // number of cores of the worker
 
-worker_answer done()
+worker_answer successful_answer()
 {
-    worker_answer out;
-    out.how = reply::done;
-    return out;
+    worker_answer result;
+    result.how = reply::done;
+    return result;
 }
 
 std::uint32_t pending(const jobs::store& state)
 {
-    return state.pending(jobs::queue{}); // the fixture's jobs name neither host nor path
+    return state.pending(jobs::queue{}); // the jobs of the fixture have neither host nor path
 }
 
-/// @brief A worker that is known and has answered once.
-void prepare(fixture& f)
+/// @brief Announces a worker and answers its first poll.
+void add_worker(fixture& f)
 {
     f.announce("w1");
     f.decide();
     f.answer_polls();
 }
 
-/// @brief Hands in one job, and has its start ordered.
-start_order order_one(fixture& f, jobs::step_spec step = {})
+/// @brief Submits one job and returns the start order for its task.
+start_order submit_and_order_start(fixture& f, jobs::step_spec step = {})
 {
     f.submit(std::move(step));
     f.decide();
@@ -51,10 +51,10 @@
     return f.sent<start_order>().at(0);
 }
 
-/// @brief Lets time pass; polls are answered with these rows, starts and stops by nobody.
-void pass(fixture& f, duration span, const std::vector<running_row>& rows = {})
+/// @brief Advances the time; polls are answered with these rows, starts and stops remain unanswered.
+void advance(fixture& f, duration elapsed, const std::vector<running_row>& rows = {})
 {
-    for (const time_point end = f.now + span; f.now < end;)
+    for (const time_point end = f.now + elapsed; f.now < end;)
     {
         f.announce("w1");
         f.decide(milliseconds(50));
@@ -65,27 +65,27 @@
 
 } // namespace
 
-TEST_CASE("jobs whose starts reach nobody wait on")
+TEST_CASE("jobs whose start orders don't take effect keep waiting")
 {
     fixture f;
-    prepare(f);
-    for (std::size_t i = 0; i < jobs_handed_in; ++i)
+    add_worker(f);
+    for (std::size_t i = 0; i < submitted_jobs; ++i)
     {
         f.submit({}, "job" + std::to_string(i));
     }
     f.decide();
-    REQUIRE(f.starts_proposed() == granted_at_once);
+    REQUIRE(f.starts_proposed() == initial_grants);
     f.commit();
     f.decide();
-    REQUIRE(f.sent<start_order>().size() == granted_at_once);
-    CHECK(pending(f.state) == jobs_handed_in);
+    REQUIRE(f.sent<start_order>().size() == initial_grants);
+    CHECK(pending(f.state) == submitted_jobs);
 
-    SECTION("while the starts are on their way")
+    SECTION("while the start orders are in flight")
     {
-        pass(f, seconds(3));
-        CHECK(pending(f.state) == jobs_handed_in);
+        advance(f, seconds(3));
+        CHECK(pending(f.state) == submitted_jobs);
     }
-    SECTION("when none of them got an answer and their lease has lapsed")
+    SECTION("when none was answered and their leases have expired")
     {
         for (const start_order& one : f.sent<start_order>())
         {
@@ -97,10 +97,10 @@
             f.answer_polls({}, "w1");
             f.commit();
         }
-        REQUIRE(f.leader.counts().ends_lapsed == granted_at_once);
-        CHECK(pending(f.state) == jobs_handed_in);
+        REQUIRE(f.leader.counts().ends_lapsed == initial_grants);
+        CHECK(pending(f.state) == submitted_jobs);
     }
-    SECTION("when the worker has rejected them")
+    SECTION("when the worker rejects them")
     {
         for (const start_order& one : f.sent<start_order>())
         {
@@ -108,22 +108,22 @@
         }
         f.decide();
         f.commit();
-        REQUIRE(f.leader.counts().ends_not_begun == granted_at_once);
-        CHECK(pending(f.state) == jobs_handed_in);
+        REQUIRE(f.leader.counts().ends_not_begun == initial_grants);
+        CHECK(pending(f.state) == submitted_jobs);
     }
-    SECTION("also for a leader that takes over from a snapshot")
+    SECTION("after the state is restored from a snapshot")
     {
         jobs::store copy;
         REQUIRE(copy.restore(f.state.save()));
-        CHECK(pending(copy) == jobs_handed_in);
+        CHECK(pending(copy) == submitted_jobs);
     }
 }
 
-TEST_CASE("a job is said to run once a worker has begun one of its tasks, and not before")
+TEST_CASE("a job is reported as running only after a worker has begun one of its tasks")
 {
     fixture f;
-    prepare(f);
-    const start_order sent = order_one(f);
+    add_worker(f);
+    const start_order sent = submit_and_order_start(f);
     const auto phase = [&f]
     {
         return f.state.find("job")->phase;
@@ -131,48 +131,48 @@
     CHECK(phase() == jobs::job_phase::queued);
     CHECK(pending(f.state) == 1);
 
-    SECTION("the worker has answered the start")
+    SECTION("the worker accepts the start")
     {
-        f.answer(sent, done());
-        pass(f, seconds(1), {{sent.name, "", 10, 0}});
+        f.answer(sent, successful_answer());
+        advance(f, seconds(1), {{sent.name, "", 10, 0}});
         CHECK(phase() == jobs::job_phase::running);
         CHECK(pending(f.state) == 0);
     }
-    SECTION("the worker lists the run, and the answer to the start was lost")
+    SECTION("the worker lists the run although the answer to the start was lost")
     {
         f.answer(sent, {reply::none, {}, {}, {}});
-        pass(f, seconds(1), {{sent.name, "", 10, 0}});
+        advance(f, seconds(1), {{sent.name, "", 10, 0}});
         CHECK(phase() == jobs::job_phase::running);
         CHECK(pending(f.state) == 0);
     }
-    SECTION("the worker lists an end of the run, and the answer to the start was lost")
+    SECTION("the worker lists the run as finished although the answer to the start was lost")
     {
         f.answer(sent, {reply::none, {}, {}, {}});
         f.decide();
-        worker_answer got = done();
-        got.finished.push_back({1, sent.name, jobs::run_end::lapsed, ""});
-        f.answer_poll(got);
+        worker_answer response = successful_answer();
+        response.finished.push_back({1, sent.name, jobs::run_end::lapsed, ""});
+        f.answer_poll(response);
         f.decide();
         f.commit();
         CHECK(phase() == jobs::job_phase::running);
         CHECK(pending(f.state) == 0);
     }
-    SECTION("a stop that came before the start is not a task that has begun")
+    SECTION("a stop that arrives before the start doesn't count as a begun task")
     {
         f.answer(sent, {reply::none, {}, {}, {}});
         f.decide();
-        worker_answer got = done();
-        got.finished.push_back({1, sent.name, jobs::run_end::stopped, ""});
-        f.answer_poll(got);
+        worker_answer response = successful_answer();
+        response.finished.push_back({1, sent.name, jobs::run_end::stopped, ""});
+        f.answer_poll(response);
         f.decide();
         f.commit();
         CHECK(phase() == jobs::job_phase::queued);
         CHECK(pending(f.state) == 1);
     }
-    SECTION("and it stays begun when its worker is lost")
+    SECTION("a begun job doesn't return to waiting when its worker is lost")
     {
-        f.answer(sent, done());
-        pass(f, seconds(1), {{sent.name, "", 10, 0}});
+        f.answer(sent, successful_answer());
+        advance(f, seconds(1), {{sent.name, "", 10, 0}});
         f.leader.departed(f.now, {"w1"});
         f.decide(milliseconds(600));
         f.commit();
@@ -181,22 +181,22 @@
     }
 }
 
-TEST_CASE("what a worker has begun is recorded, so that the next leader knows it")
+TEST_CASE("the tasks that a worker has begun are recorded for the next leader")
 {
     fixture f;
-    prepare(f);
-    const start_order sent = order_one(f);
-    f.answer(sent, done());
+    add_worker(f);
+    const start_order sent = submit_and_order_start(f);
+    f.answer(sent, successful_answer());
     f.decide();
 
-    SECTION("within a second, though nothing else is to be recorded")
+    SECTION("within a second, even if nothing else has to be recorded")
     {
-        pass(f, seconds(1), {{sent.name, "", 10, 0}});
+        advance(f, seconds(1), {{sent.name, "", 10, 0}});
         jobs::store copy;
         REQUIRE(copy.restore(f.state.save()));
         CHECK(pending(copy) == 0);
     }
-    SECTION("again where the record of it was lost")
+    SECTION("again if the first record was lost")
     {
         for (int i = 0; i < 40; ++i)
         {
@@ -207,15 +207,15 @@
                 f.leader.round_ended(f.now, one.id, std::nullopt);
             }
         }
-        pass(f, seconds(1), {{sent.name, "", 10, 0}});
+        advance(f, seconds(1), {{sent.name, "", 10, 0}});
         CHECK(pending(f.state) == 0);
     }
-    SECTION("or learned from the worker by the next leader")
+    SECTION("or the next leader learns it from the worker")
     {
         f.rounds.clear();
         f.open_polls.clear();
         f.leader.lead(f.now, 8, f.state);
-        pass(f, seconds(1), {{sent.name, "", 10, 0}});
+        advance(f, seconds(1), {{sent.name, "", 10, 0}});
         CHECK(pending(f.state) == 0);
     }
 }
--- a/tests/src/unit-worker_lives.cpp
+++ b/tests/src/unit-worker_lives.cpp
@@ -1,22 +1,13 @@
 /// @file
-/// @brief A worker that starts again under its id: its ends are read, what it says holds, and what ran on its
-///        earlier life is over.
+/// @brief The reports of a worker that restarts under its id are processed; its earlier runs count as lost.
 ///
-/// Two tasks were started again a second after they had ended. Their worker had crashed and come back under
-/// the id that it had; it numbered its ends from 1 again, while the leader had read ends up to 11 of its
-/// earlier life. So the first ends of the new life were passed over as read, and listed again and again,
-/// until their numbers had passed the old one; then the worker was told to forget them, its tasks were on
-/// neither list any more, and were taken for lost:
-///
-///      7.212  the task ends as done on the new life
-///     10.566 run_lost      index 16 attempt 1 how 6 begun 1 age_ms 4677 percent 67
-///     10.585 tasks_granted            attempt 2
-///
-/// Three runs that had ended at different times vanished in the same millisecond. On another day the new
-/// life's count never reached the old one: its ends stayed listed and unread, and two tasks waited until the
-/// end of the day, with no run unconfirmed and nobody said to wait for room. A life of a worker is its id
-/// together with the time at which it was born, which says nothing of the order of two lives, since clocks
-/// step.
+/// Guards against a leader that starts finished tasks again. A restarted worker numbers its finished runs
+/// from 1 again, while the leader has recorded runs up to a higher number for the previous process, for
+/// example 11. The leader skipped the first finished runs as known until their numbers exceeded that value,
+/// and then told the worker to forget them: their tasks were in neither list and considered lost, several of
+/// them in the same millisecond. If the numbers never reached that value, the tasks waited until the end of
+/// the day, with no run unconfirmed and none reported as waiting for capacity. A life of a worker is
+/// identified by its id and time of birth; clocks may be set back, so times of birth don't order lives.
 
 #include "dispatcher_fixture.hpp"
 
@@ -29,32 +20,32 @@
 namespace
 {
 
-const jobs::resources whole{16'000, 64'000, 0};
+const jobs::resources full_capacity{16'000, 64'000, 0};
 
-/// @brief A leader, and a worker whose process comes and goes at one address.
-struct lives_fixture : fixture
+/// @brief A leader and a worker whose process restarts at the same address.
+struct restart_fixture : fixture
 {
-    /// @brief Another process answers as the worker from now on.
-    void live(const fleet::worker_life& life, jobs::resources room = whole)
+    /// @brief Replaces the process of the worker by a new one and announces it.
+    void start_process(const fleet::worker_life& life, jobs::resources capacity = full_capacity)
     {
-        alive = life;
+        current_life = life;
         clock_ms = 3000;
         sequence = 0;
         running.clear();
         finished.clear();
-        said = room;
-        beat();
+        announced_resources = capacity;
+        send_announcement();
     }
 
-    void beat()
+    void send_announcement()
     {
-        announce_life(alive, ++sequence, said);
+        announce_life(current_life, ++sequence, announced_resources);
     }
 
-    /// @brief Lets time pass; the worker answers what reaches it, and starts what it is told to.
-    void turn(int times = 4)
+    /// @brief Runs decision rounds of 50 ms; the worker answers and carries out the orders that reach it.
+    void run_rounds(int count = 4)
     {
-        for (int i = 0; i < times; ++i)
+        for (int i = 0; i < count; ++i)
         {
             decide(milliseconds(50));
             clock_ms += 50;
@@ -72,22 +63,22 @@
 
     void reply_to(const order& what)
     {
-        worker_answer got;
-        got.how = reply::done;
+        worker_answer response;
+        response.how = reply::done;
         const recipient& to = std::visit(
             [](const auto& one) -> const recipient&
             {
                 return one.to;
             },
             what);
-        if (!reaches(to, alive))
+        if (!reaches(to, current_life))
         {
-            got.how = reply::other_life;
-            got.born_ms = alive.born_ms;
-            leader.answered(now, {what, now}, got);
+            response.how = reply::other_life;
+            response.born_ms = current_life.born_ms;
+            leader.answered(now, {what, now}, response);
             return;
         }
-        got.clock_ms = clock_ms;
+        response.clock_ms = clock_ms;
         if (const auto* start_of = std::get_if<start_order>(&what))
         {
             last_start = *start_of;
@@ -97,23 +88,23 @@
         if (const auto* stop_of = std::get_if<stop_order>(&what))
         {
             stopped.push_back(stop_of->name);
-            end(stop_of->name, jobs::run_end::stopped);
+            finish_run(stop_of->name, jobs::run_end::stopped);
         }
         if (const auto* hold = std::get_if<poll_order>(&what))
         {
-            got.born_ms = alive.born_ms;
+            response.born_ms = current_life.born_ms;
             std::erase_if(finished,
                           [hold](const finished_row& row)
                           {
                               return row.number <= hold->ends_recorded;
                           });
-            got.running = running;
-            got.finished = finished;
+            response.running = running;
+            response.finished = finished;
         }
-        leader.answered(now, {what, now}, got);
+        leader.answered(now, {what, now}, response);
     }
 
-    void end(const jobs::run_name& name, jobs::run_end how)
+    void finish_run(const jobs::run_name& name, jobs::run_end how)
     {
         const auto removed = std::erase_if(running,
                                            [&name](const running_row& row)
@@ -122,36 +113,36 @@
                                            });
         if (removed > 0)
         {
-            finished.push_back({++ends, name, how, {}});
+            finished.push_back({++finished_count, name, how, {}});
         }
     }
 
-    void end_all(jobs::run_end how)
+    void finish_all(jobs::run_end how)
     {
         for (const running_row& row : std::vector<running_row>(running))
         {
-            end(row.name, how);
+            finish_run(row.name, how);
         }
     }
 
-    /// @brief Runs a job of so many tasks to its end on the present life.
+    /// @brief Runs a job with this number of tasks to completion on the current process.
     void run_job(const std::string& id, std::uint32_t tasks)
     {
         jobs::step_spec step;
         step.task_count = tasks;
         submit(step, id);
-        turn();
+        run_rounds();
         REQUIRE(running.size() == tasks);
-        end_all(jobs::run_end::done);
-        turn(8);
+        finish_all(jobs::run_end::done);
+        run_rounds(8);
         REQUIRE(state.find(id)->phase == jobs::job_phase::completed);
     }
 
-    fleet::worker_life alive;
-    jobs::resources said;
+    fleet::worker_life current_life;
+    jobs::resources announced_resources;
     std::int64_t clock_ms = 900'000;
     std::uint64_t sequence = 0;
-    std::uint64_t ends = 0;
+    std::uint64_t finished_count = 0;
     std::vector<running_row> running;
     std::vector<finished_row> finished;
     std::vector<jobs::run_name> started;
@@ -159,105 +150,105 @@
     start_order last_start;
 };
 
-const jobs::task& task_of(const lives_fixture& f, const std::string& job)
+const jobs::task& first_task_of(const restart_fixture& f, const std::string& job)
 {
     return f.state.find(job)->occurrences.at(0).steps.at(0).tasks.at(0);
 }
 
 } // namespace
 
-TEST_CASE("the first ends of a worker that started again are read, and its tasks are not started once more")
+TEST_CASE("the first finished runs after a restart are processed and their tasks aren't started again")
 {
-    lives_fixture f;
-    f.live({"w", 50'000});
+    restart_fixture f;
+    f.start_process({"w", 50'000});
     f.clock_ms = 900'000;
-    f.turn();
+    f.run_rounds();
     f.run_job("before", 5);
-    const std::int64_t born_ms = GENERATE(50'900, 49'000); // its clock may have been put back meanwhile
-    f.ends = 0;
-    f.live({"w", born_ms});
-    f.turn();
-    f.run_job("after", 2); // ends 1 and 2, below the 5 that were read of the earlier life
-    f.turn(40);
-    CHECK(f.started.size() == 7); // each once
-    CHECK(f.finished.empty());    // the worker was told that they are noted
+    const std::int64_t born_ms = GENERATE(50'900, 49'000); // the clock may have been set back in between
+    f.finished_count = 0;
+    f.start_process({"w", born_ms});
+    f.run_rounds();
+    f.run_job("after", 2); // runs 1 and 2, below the 5 processed for the previous process
+    f.run_rounds(40);
+    CHECK(f.started.size() == 7); // each task once
+    CHECK(f.finished.empty());    // the leader has acknowledged them
 }
 
-TEST_CASE("what a worker says after it has started again holds at once")
+TEST_CASE("the announcement of a restarted worker takes effect at once")
 {
-    lives_fixture f;
-    f.live({"w", 50'000});
+    restart_fixture f;
+    f.start_process({"w", 50'000});
     for (int i = 0; i < 30; ++i)
     {
-        f.beat();
+        f.send_announcement();
     }
-    f.turn();
-    f.live({"w", 49'000}, {2000, 64'000, 0}); // another kind
-    f.turn();
+    f.run_rounds();
+    f.start_process({"w", 49'000}, {2000, 64'000, 0}); // smaller capacity than before
+    f.run_rounds();
     jobs::step_spec large;
     large.needs = {8000, 100, 0};
     f.submit(large, "large");
     jobs::step_spec small;
     f.submit(small, "small");
-    f.turn();
-    CHECK(task_of(f, "large").runs.empty());
-    CHECK(task_of(f, "small").runs.size() == 1);
+    f.run_rounds();
+    CHECK(first_task_of(f, "large").runs.empty());
+    CHECK(first_task_of(f, "small").runs.size() == 1);
 }
 
-TEST_CASE("leases are given on the clock of the life that lives")
+TEST_CASE("leases are set on the clock of the current process")
 {
-    lives_fixture f;
-    f.live({"w", 50'000});
+    restart_fixture f;
+    f.start_process({"w", 50'000});
     f.clock_ms = 900'000;
-    f.turn();
-    f.live({"w", 51'000});
-    f.turn();
+    f.run_rounds();
+    f.start_process({"w", 51'000});
+    f.run_rounds();
     f.submit({}, "job");
-    f.turn();
+    f.run_rounds();
     REQUIRE(f.running.size() == 1);
     CHECK(f.last_start.lease_until_ms < f.clock_ms + 5000);
 }
 
-TEST_CASE("a worker that has started again has crashed: what ran there is over, and counted")
+TEST_CASE("a restart counts as a crash of the worker and ends its runs")
 {
-    lives_fixture f;
-    f.live({"w", 50'000});
-    f.turn();
+    restart_fixture f;
+    f.start_process({"w", 50'000});
+    f.run_rounds();
     f.submit({}, "job");
-    f.turn();
+    f.run_rounds();
     REQUIRE(f.running.size() == 1);
-    SECTION("seen by the leader that ordered it")
+    SECTION("detected by the leader that ordered the run")
     {
-        f.live({"w", 51'000});
-        f.turn();
+        f.start_process({"w", 51'000});
+        f.run_rounds();
         CHECK(f.leader.counts().workers_crashed == 1);
     }
-    SECTION("seen by the next leader, from the record")
+    SECTION("detected by the next leader, from the replicated state")
     {
         f.leader.lead(f.now, 8, f.state);
         f.open_polls.clear();
-        f.live({"w", 51'000});
-        f.turn();
+        f.start_process({"w", 51'000});
+        f.run_rounds();
     }
-    SECTION("seen by the next leader, after a snapshot")
+    SECTION("detected by the next leader, from a snapshot")
     {
         const std::string saved = f.state.save();
         REQUIRE(f.state.restore(saved));
         f.leader.lead(f.now, 8, f.state);
         f.open_polls.clear();
-        f.live({"w", 51'000});
-        f.turn();
+        f.start_process({"w", 51'000});
+        f.run_rounds();
     }
-    CHECK(task_of(f, "job").evidence.crashes == 1);
-    CHECK(task_of(f, "job").last_attempt == 2);
+    CHECK(first_task_of(f, "job").evidence.crashes == 1);
+    CHECK(first_task_of(f, "job").last_attempt == 2);
     CHECK(f.running.size() == 1);
 }
 
-TEST_CASE("a start that may come late is shut out at the next life before its task goes elsewhere")
+TEST_CASE("a start that may arrive late is stopped on the restarted worker before its task is granted again")
 {
-    lives_fixture f;
-    f.live({"w", 50'000});
-    f.turn();
+    restart_fixture f;
+    f.start_process({"w", 50'000});
+    f.run_rounds();
     f.submit({}, "job");
     f.decide();
     f.commit();
@@ -265,32 +256,32 @@
     REQUIRE(f.sent<start_order>().size() == 1);
     const start_order late = f.sent<start_order>().at(0);
     f.leader.answered(f.now, {late, f.now}, {});
-    f.live({"w", 51'000});
-    f.turn(1);
+    f.start_process({"w", 51'000});
+    f.run_rounds(1);
     if (f.stopped.empty())
     {
-        CHECK(task_of(f, "job").last_attempt == 1); // nothing is written off yet
+        CHECK(first_task_of(f, "job").last_attempt == 1); // the run isn't considered lost yet
     }
-    f.turn();
+    f.run_rounds();
     REQUIRE_FALSE(f.stopped.empty());
     CHECK(f.stopped.front() == late.name);
-    CHECK(task_of(f, "job").last_attempt == 2);
+    CHECK(first_task_of(f, "job").last_attempt == 2);
 }
 
-TEST_CASE("a run that an older release recorded, without its worker's time of birth, goes on")
+TEST_CASE("a run recorded by an older release without the worker's time of birth continues")
 {
-    lives_fixture f;
+    restart_fixture f;
     f.submit({}, "job");
     jobs::round recorded;
     recorded.starts.push_back({{{"job", 0, 0, 0}, 1}, {"w"}, "address"});
     REQUIRE(f.state.apply(recorded).starts_accepted.at(0));
-    f.live({"w", 50'000});
+    f.start_process({"w", 50'000});
     f.running.push_back({{{"job", 0, 0, 0}, 1}, "", 10, 0});
     f.leader.lead(f.now, 8, f.state);
-    f.beat();
+    f.send_announcement();
     if (GENERATE(false, true))
     {
-        // The poll that names the life is answered before the one that names the id alone.
+        // The poll with the time of birth is answered before the one with only the id.
         f.decide(milliseconds(50));
         std::reverse(f.open_polls.begin(), f.open_polls.end());
         for (const poll_order& one : std::exchange(f.open_polls, {}))
@@ -298,44 +289,44 @@
             f.reply_to(one);
         }
     }
-    f.turn(20);
+    f.run_rounds(20);
     CHECK(f.running.size() == 1);
     CHECK(f.stopped.empty());
     CHECK(f.leader.counts().workers_crashed == 0);
-    f.end_all(jobs::run_end::done);
-    f.turn(8);
+    f.finish_all(jobs::run_end::done);
+    f.run_rounds(8);
     CHECK(f.state.find("job")->phase == jobs::job_phase::completed);
     CHECK(f.started.empty());
 }
 
-TEST_CASE("what is told late by a life that is over changes nothing")
+TEST_CASE("a delayed announcement of a previous process changes nothing")
 {
-    lives_fixture f;
+    restart_fixture f;
     const fleet::worker_life earlier{"w", 51'000};
-    f.live(earlier);
-    f.turn();
-    f.live({"w", 50'000}, {2000, 64'000, 0});
-    f.turn();
-    f.announce_life(earlier, 90, whole);
-    f.turn();
+    f.start_process(earlier);
+    f.run_rounds();
+    f.start_process({"w", 50'000}, {2000, 64'000, 0});
+    f.run_rounds();
+    f.announce_life(earlier, 90, full_capacity);
+    f.run_rounds();
     jobs::step_spec large;
     large.needs = {8000, 100, 0};
     f.submit(large, "large");
-    f.turn();
-    CHECK(task_of(f, "large").runs.empty());
+    f.run_rounds();
+    CHECK(first_task_of(f, "large").runs.empty());
     f.submit({}, "small");
-    f.turn();
+    f.run_rounds();
     CHECK(f.running.size() == 1);
     CHECK(f.leader.counts().workers_crashed <= 1);
 }
 
-TEST_CASE("an answer of a life that is over, read after the next one's, changes nothing")
+TEST_CASE("a delayed answer of a previous process changes nothing")
 {
-    lives_fixture f;
-    f.live({"w", 50'000});
-    f.turn();
+    restart_fixture f;
+    f.start_process({"w", 50'000});
+    f.run_rounds();
     f.submit({}, "job");
-    f.turn();
+    f.run_rounds();
     REQUIRE(f.running.size() == 1);
     worker_answer late;
     late.how = reply::done;
@@ -343,20 +334,20 @@
     late.clock_ms = 900'000;
     late.finished.push_back({40, f.running.front().name, jobs::run_end::failed, {}});
     const poll_order open{{{"w", 50'000}, "address"}, 7, {}, 0, 0};
-    f.live({"w", 51'000});
-    f.turn(8);
+    f.start_process({"w", 51'000});
+    f.run_rounds(8);
     REQUIRE(f.running.size() == 1);
-    REQUIRE(task_of(f, "job").last_attempt == 2);
+    REQUIRE(first_task_of(f, "job").last_attempt == 2);
     f.leader.answered(f.now, {open, f.now - milliseconds(400)}, late);
-    f.turn();
-    CHECK(task_of(f, "job").failures == 0);
-    f.end_all(jobs::run_end::done);
-    f.turn(8);
+    f.run_rounds();
+    CHECK(first_task_of(f, "job").failures == 0);
+    f.finish_all(jobs::run_end::done);
+    f.run_rounds(8);
     CHECK(f.state.find("job")->phase == jobs::job_phase::completed);
     CHECK(f.started.size() == 2);
 }
 
-TEST_CASE("a control VM relays a worker that has started again, though its count is lower")
+TEST_CASE("a control VM relays the announcement of a restarted worker despite its lower sequence number")
 {
     fleet::worker_registry registry;
     fleet::announcement first;
