--- a/tests/src/unit-platform_translation.cpp
+++ b/tests/src/unit-platform_translation.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The adapter: bodies of the users' platform, translated both ways, and bad ones refused.
+/// @brief The platform adapter translates requests and responses in both directions and rejects invalid ones.
 
 #include "callers.hpp"
 #include "control_plane.hpp"
@@ -17,7 +17,7 @@
 namespace
 {
 
-http::request call(const std::string& method, const std::string& path, const std::string& body = {})
+http::request make_request(const std::string& method, const std::string& path, const std::string& body = {})
 {
     http::request out;
     out.method = method;
@@ -28,21 +28,22 @@
     return out;
 }
 
-std::string refusal_of(const std::string& body)
+std::string rejection_of(const std::string& body)
 {
-    const protocol::caller_request read = platform::callers().read(call("POST", "/q/5c0e7a21d94b36f8", body));
-    const auto* bad = std::get_if<protocol::bad_call>(&read.call);
-    return bad == nullptr ? "" : std::to_string(bad->status) + " " + bad->message;
+    const protocol::caller_request read =
+        platform::callers().read(make_request("POST", "/q/5c0e7a21d94b36f8", body));
+    const auto* error = std::get_if<protocol::bad_call>(&read.call);
+    return error == nullptr ? "" : std::to_string(error->status) + " " + error->message;
 }
 
 int config_status(const std::string& body)
 {
-    const protocol::control_call read = platform::control_plane().read(call("PUT", "/config", body));
-    const auto* bad = std::get_if<protocol::bad_call>(&read);
-    return bad == nullptr ? 200 : bad->status;
+    const protocol::control_call read = platform::control_plane().read(make_request("PUT", "/config", body));
+    const auto* error = std::get_if<protocol::bad_call>(&read);
+    return error == nullptr ? 200 : error->status;
 }
 
-nlohmann::json sound_config()
+nlohmann::json valid_config()
 {
     return nlohmann::json::parse(R"({"version":7,"routes":[
         {"name":"r1","host":"h","path-prefix":"/a/","type":"non_idempotent","timeout-ms":3000,
@@ -54,9 +55,9 @@
 
 } // namespace
 
-TEST_CASE("a client's job is read")
+TEST_CASE("a submitted job is parsed")
 {
-    const protocol::caller_request read = platform::callers().read(call(
+    const protocol::caller_request read = platform::callers().read(make_request(
         "POST",
         "/q/5c0e7a21d94b36f8",
         R"({"spec":"text","steps":[{"count":4,"cpu":500,"mem-mb":256,"estimate-ms":900,"affinity":"r1-3"},
@@ -87,35 +88,35 @@
     CHECK(spec.first_due_ms == 9);
 }
 
-TEST_CASE("a job that can't be run is refused, with its place")
+TEST_CASE("an invalid job is rejected with the path of the fault")
 {
-    CHECK(refusal_of(R"({"steps":[{"count":1}]})").empty());
-    CHECK(refusal_of("{\"steps\":[") == "400 the body is not JSON");
-    CHECK(refusal_of("[]") == "400 the body must be an object");
-    CHECK(refusal_of(R"({"steps":[]})") == "400 the number of steps must be 1 to 1000");
-    CHECK(refusal_of(R"({"steps":[{"count":0}]})") == "400 step 0: its number of tasks must be 1 to 10000");
-    CHECK(refusal_of(R"({"steps":[{"count":-1}]})") ==
+    CHECK(rejection_of(R"({"steps":[{"count":1}]})").empty());
+    CHECK(rejection_of("{\"steps\":[") == "400 the body is not JSON");
+    CHECK(rejection_of("[]") == "400 the body must be an object");
+    CHECK(rejection_of(R"({"steps":[]})") == "400 the number of steps must be 1 to 1000");
+    CHECK(rejection_of(R"({"steps":[{"count":0}]})") == "400 step 0: its number of tasks must be 1 to 10000");
+    CHECK(rejection_of(R"({"steps":[{"count":-1}]})") ==
           "400 /steps/0/count must be a whole number from 0 to 4294967295");
-    CHECK(refusal_of(R"({"steps":[{"count":1,"cpu":"x"}]})") ==
+    CHECK(rejection_of(R"({"steps":[{"count":1,"cpu":"x"}]})") ==
           "400 /steps/0/cpu must be a whole number from 0 to 4294967295");
-    CHECK(refusal_of(R"({"steps":[{"count":1,"depends-on":[0]}]})") ==
+    CHECK(rejection_of(R"({"steps":[{"count":1,"depends-on":[0]}]})") ==
           "400 step 0: it may only wait for earlier steps");
-    CHECK(refusal_of(R"({"steps":[{"count":1},{"count":1,"depends-on":[2]}]})") ==
+    CHECK(rejection_of(R"({"steps":[{"count":1},{"count":1,"depends-on":[2]}]})") ==
           "400 step 1: it may only wait for earlier steps");
-    CHECK(refusal_of(R"({"steps":[{"count":1,"gang":1}]})") == "400 /steps/0/gang must be true or false");
-    CHECK(refusal_of(R"({"steps":{"count":1}})") == "400 /steps must be a list");
-    CHECK(refusal_of("{\"spec\":\"" + std::string(4001, 'x') + "\",\"steps\":[{\"count\":1}]}") ==
+    CHECK(rejection_of(R"({"steps":[{"count":1,"gang":1}]})") == "400 /steps/0/gang must be true or false");
+    CHECK(rejection_of(R"({"steps":{"count":1}})") == "400 /steps must be a list");
+    CHECK(rejection_of("{\"spec\":\"" + std::string(4001, 'x') + "\",\"steps\":[{\"count\":1}]}") ==
           "400 /spec must be a text of at most 4000 bytes");
 }
 
-TEST_CASE("what a client is told")
+TEST_CASE("outcomes are translated to responses for clients")
 {
     const platform::callers callers;
     const auto status = [&callers](jobs::outcome result)
     {
-        protocol::caller_answer told;
-        told.result = result;
-        return callers.write(told).status;
+        protocol::caller_answer answer;
+        answer.result = result;
+        return callers.write(answer).status;
     };
     CHECK(status(jobs::outcome::accepted) == 200);
     CHECK(status(jobs::outcome::known) == 200);
@@ -125,20 +126,20 @@
     CHECK(status(jobs::outcome::unconfigured) == 503);
     CHECK(status(jobs::outcome::undecided) == 504);
 
-    protocol::caller_answer told;
-    told.phase = jobs::job_phase::running;
-    CHECK(callers.write(told).body == R"({"state":"running"})");
-    told.phase.reset();
-    told.pending = 12;
-    told.return_after_ms = 1500;
-    CHECK(callers.write(told).body == R"({"pending":12})");
-    CHECK(http::find_header(callers.write(told).headers, "Retry-After") == "2");
+    protocol::caller_answer answer;
+    answer.phase = jobs::job_phase::running;
+    CHECK(callers.write(answer).body == R"({"state":"running"})");
+    answer.phase.reset();
+    answer.pending = 12;
+    answer.return_after_ms = 1500;
+    CHECK(callers.write(answer).body == R"({"pending":12})");
+    CHECK(http::find_header(callers.write(answer).headers, "Retry-After") == "2");
 }
 
-TEST_CASE("a configuration is read whole or refused")
+TEST_CASE("a configuration is either parsed completely or rejected")
 {
     const protocol::control_call read =
-        platform::control_plane().read(call("PUT", "/config", sound_config().dump()));
+        platform::control_plane().read(make_request("PUT", "/config", valid_config().dump()));
     const jobs::configuration& config = std::get<protocol::configure_call>(read).value;
     CHECK(config.version == 7);
     REQUIRE(config.queues.size() == 2);
@@ -148,51 +149,51 @@
     CHECK(config.queues[1].priority == 2);
     CHECK(config.services.at(0).workers_check_room);
     CHECK(config.max_body_bytes == 262144);
-    CHECK(config.document == sound_config().dump());
+    CHECK(config.document == valid_config().dump());
 
-    SECTION("a cut body")
+    SECTION("a truncated body")
     {
-        const std::string whole = sound_config().dump();
-        CHECK(config_status(whole.substr(0, whole.size() / 2)) == 400);
+        const std::string text = valid_config().dump();
+        CHECK(config_status(text.substr(0, text.size() / 2)) == 400);
         CHECK(config_status("") == 400);
     }
     SECTION("an unknown service")
     {
-        nlohmann::json wrong = sound_config();
-        wrong["routes"][1]["service"] = "other";
-        CHECK(config_status(wrong.dump()) == 400);
+        nlohmann::json invalid = valid_config();
+        invalid["routes"][1]["service"] = "other";
+        CHECK(config_status(invalid.dump()) == 400);
     }
-    SECTION("two routes at one place")
+    SECTION("two routes with the same host and path prefix")
     {
-        nlohmann::json wrong = sound_config();
-        wrong["routes"][1]["path-prefix"] = "/a/";
-        CHECK(config_status(wrong.dump()) == 400);
+        nlohmann::json invalid = valid_config();
+        invalid["routes"][1]["path-prefix"] = "/a/";
+        CHECK(config_status(invalid.dump()) == 400);
     }
-    SECTION("no time-out")
+    SECTION("a timeout of zero")
     {
-        nlohmann::json wrong = sound_config();
-        wrong["routes"][0]["timeout-ms"] = 0;
-        CHECK(config_status(wrong.dump()) == 400);
+        nlohmann::json invalid = valid_config();
+        invalid["routes"][0]["timeout-ms"] = 0;
+        CHECK(config_status(invalid.dump()) == 400);
     }
-    SECTION("missing parts and wrong types")
+    SECTION("missing keys and wrong types")
     {
         for (const char* key : {"version", "routes", "services"})
         {
-            nlohmann::json wrong = sound_config();
-            wrong.erase(key);
-            CHECK(config_status(wrong.dump()) == 400);
-            wrong[key] = "text";
-            CHECK(config_status(wrong.dump()) == 400);
+            nlohmann::json invalid = valid_config();
+            invalid.erase(key);
+            CHECK(config_status(invalid.dump()) == 400);
+            invalid[key] = "text";
+            CHECK(config_status(invalid.dump()) == 400);
         }
     }
 }
 
-TEST_CASE("a worker's announcement and goodbye are read")
+TEST_CASE("the announcement and the deregistration of a worker are parsed")
 {
     const protocol::control_call read = platform::control_plane().read(
-        call("PUT",
-             "/instances/i-7f3a",
-             R"({"service":"s","address":"10.1.0.9:8080","zone":"z","version":"v1","capacity":8,
+        make_request("PUT",
+                     "/instances/i-7f3a",
+                     R"({"service":"s","address":"10.1.0.9:8080","zone":"z","version":"v1","capacity":8,
                  "state":"draining","remaining-ms":1800,"free-capacity":{"cpu":16000,"mem-mb":32768,"gpu":1},
                  "labels":["a","r1-3"],"clock-ms":482113,"born":1779733950057,"sequence":4,
                  "machine":"m-1"})"));
@@ -204,13 +205,14 @@
     CHECK(worker.time_left_ms == 1800);
     CHECK(worker.sequence == 4);
     CHECK(worker.vm == "m-1");
-    const protocol::control_call left = platform::control_plane().read(call("DELETE", "/instances/i-7f3a"));
+    const protocol::control_call left =
+        platform::control_plane().read(make_request("DELETE", "/instances/i-7f3a"));
     CHECK(std::get<protocol::goodbye_call>(left).worker == "i-7f3a");
     CHECK(std::holds_alternative<protocol::bad_call>(
-        platform::control_plane().read(call("PUT", "/instances/i-7f3a", "[1]"))));
+        platform::control_plane().read(make_request("PUT", "/instances/i-7f3a", "[1]"))));
 }
 
-TEST_CASE("orders are written and answers read")
+TEST_CASE("orders are serialized and answers parsed")
 {
     const platform::workers workers;
     const jobs::run_name name{{"5c0e7a21d94b36f8", 0, 1, 17}, 2};
@@ -229,15 +231,15 @@
         CHECK(body["deadline-ms"] == 486000);
         CHECK(body["fencing-token"] == 7);
     }
-    SECTION("refusals")
+    SECTION("status codes and reasons")
     {
         const dispatch::order what = dispatch::start_order{to, 7, 486000, name, "text", {}, {}};
         const auto read = [&](int status, const std::string& body)
         {
-            http::response got;
-            got.status = status;
-            got.body = body;
-            return workers.read(what, got).how;
+            http::response response;
+            response.status = status;
+            response.body = body;
+            return workers.read(what, response).how;
         };
         CHECK(read(200, R"({"clock-ms":1})") == dispatch::reply::done);
         CHECK(read(409, R"({"clock-ms":1,"reason":"fence"})") == dispatch::reply::fenced);
@@ -250,12 +252,12 @@
         CHECK(read(500, "") == dispatch::reply::none);
         CHECK(read(200, "{\"clock-ms\":") == dispatch::reply::none);
     }
-    SECTION("both lists of a hold")
+    SECTION("running and finished runs of a poll")
     {
-        http::response got;
-        got.body = R"({"clock-ms":482113,"born":1779733950057,"running":[["a.0.1.17",2,"saved",41,950]],
+        http::response response;
+        response.body = R"({"clock-ms":482113,"born":1779733950057,"running":[["a.0.1.17",2,"saved",41,950]],
                        "finished":[[58,"a.0.1.9",1,"done",""],[59,"a.1.0.0",3,"lapsed","s"]]})";
-        const dispatch::worker_answer read = workers.read(dispatch::poll_order{to, 7, {}, 57, 0}, got);
+        const dispatch::worker_answer read = workers.read(dispatch::poll_order{to, 7, {}, 57, 0}, response);
         CHECK(read.how == dispatch::reply::done);
         CHECK(read.clock_ms == 482113);
         CHECK(read.born_ms == 1779733950057);
@@ -269,15 +271,15 @@
         CHECK(read.finished[1].name.task.occurrence == 1);
         CHECK(read.finished[1].how == jobs::run_end::lapsed);
     }
-    SECTION("a row that names no task makes the whole answer unreadable")
+    SECTION("a row with an invalid task name invalidates the whole answer")
     {
-        http::response got;
-        got.body = R"({"clock-ms":1,"running":[["nonsense",2,"",41]],"finished":[]})";
-        CHECK(workers.read(dispatch::poll_order{to, 7, {}, 57, 0}, got).how == dispatch::reply::none);
+        http::response response;
+        response.body = R"({"clock-ms":1,"running":[["nonsense",2,"",41]],"finished":[]})";
+        CHECK(workers.read(dispatch::poll_order{to, 7, {}, 57, 0}, response).how == dispatch::reply::none);
     }
 }
 
-TEST_CASE("nothing outside the adapter knows the platform's names")
+TEST_CASE("no source outside the adapter contains names of the platform's interface")
 {
     const std::regex names(
         "\\b(minions?|run-start|run-stop|free-capacity|last-seen|fencing-token|machine-upkeep|"
--- a/tests/src/unit-whole_path.cpp
+++ b/tests/src/unit-whole_path.cpp
@@ -1,4 +1,5 @@
-// A control process, an entry and a worker in one test process, over real sockets on loopback.
+/// @file
+/// @brief Runs a control process, an entry and a worker in one test process, connected over loopback sockets.
 
 #include "plumspoke/control/server.hpp"
 #include "plumspoke/entry/server.hpp"
@@ -26,7 +27,7 @@
 
 using namespace plumspoke;
 
-int connect_to(const std::string& address)
+int open_connection(const std::string& address)
 {
     const int socket = ::socket(AF_INET, SOCK_STREAM, 0);
     sockaddr_in target{};
@@ -37,10 +38,10 @@
     return socket;
 }
 
-/// Sends bytes as they are and reads until the connection ends.
-std::string talk(const std::string& address, const std::string& bytes, bool half_close = false)
+/// @brief Sends raw bytes and reads until the connection is closed.
+std::string exchange_raw(const std::string& address, const std::string& bytes, bool half_close = false)
 {
-    const int socket = connect_to(address);
+    const int socket = open_connection(address);
     (void)!::send(socket, bytes.data(), bytes.size(), MSG_NOSIGNAL);
     if (half_close)
     {
@@ -57,11 +58,11 @@
     return answer;
 }
 
-bool wait_until(const std::function<bool()>& holds)
+bool wait_until(const std::function<bool()>& condition)
 {
     for (int i = 0; i < 600; ++i)
     {
-        if (holds())
+        if (condition())
         {
             return true;
         }
@@ -70,7 +71,7 @@
     return false;
 }
 
-/// The system of this file's tests.
+/// @brief A running system of one control process, one entry and one worker.
 class fixture
 {
   public:
@@ -107,7 +108,7 @@
         std::filesystem::remove_all(folder_);
     }
 
-    /// Puts services with these endpoints in force.
+    /// @brief Applies a configuration with two services on these endpoints and waits until it is active.
     void configure(const std::vector<std::string>& endpoints)
     {
         nlohmann::json list = nlohmann::json::array();
@@ -117,25 +118,25 @@
         }
         nlohmann::json intent = {
             {"teams", {{{"name", "judge"}, {"quota", {{"cores", 10}, {"memory_mb", 9000}}}}}}};
-        for (const bool safe : {true, false})
+        for (const bool repeatable : {true, false})
         {
-            intent["services"].push_back({{"name", safe ? "quick" : "sync"},
+            intent["services"].push_back({{"name", repeatable ? "quick" : "sync"},
                                           {"team", "judge"},
                                           {"answer_within_ms", 1500},
-                                          {"safe_to_repeat", safe},
+                                          {"safe_to_repeat", repeatable},
                                           {"endpoints", list}});
         }
         operators::control_api_client caller({control_http}, milliseconds(10000));
-        operators::control_answer present;
+        operators::control_answer current;
         REQUIRE(wait_until(
             [&]
             {
-                return (present = caller.get("/v1/configuration")).accepted();
+                return (current = caller.get("/v1/configuration")).accepted();
             }));
         const operators::control_answer plan = caller.post("/v1/plans",
                                                            {{"request", std::to_string(++requests_)},
                                                             {"operator", "ana"},
-                                                            {"based_on", present.body["version"]},
+                                                            {"based_on", current.body["version"]},
                                                             {"intent", intent}});
         REQUIRE(plan.accepted());
         const std::string path = "/v1/plans/" + std::to_string(plan.body["id"].get<int>()) + "/confirm";
@@ -143,12 +144,13 @@
         REQUIRE(wait_until(
             [&]
             {
-                return ask("/quick/x").status == 200;
+                return send_request("/quick/x").status == 200;
             }));
     }
 
-    [[nodiscard]] http::response
-    ask(const std::string& path, std::vector<http::header> headers = {}, const std::string& body = "") const
+    [[nodiscard]] http::response send_request(const std::string& path,
+                                              std::vector<http::header> headers = {},
+                                              const std::string& body = "") const
     {
         http::request sent;
         sent.method = body.empty() ? "GET" : "POST";
@@ -179,75 +181,78 @@
 
 } // namespace
 
-TEST_CASE("a caller of a whole system")
+TEST_CASE("a request through the whole system")
 {
     fixture f;
 
-    SECTION("gets its own answer, the path and query passed on")
+    SECTION("gets its answer, with path and query forwarded")
     {
-        const http::response answer = f.ask("/quick/a/b?ms=1", {{"X-Mark", "mine"}});
+        const http::response answer = f.send_request("/quick/a/b?ms=1", {{"X-Mark", "mine"}});
         CHECK(answer.status == 200);
         CHECK(fixture::outcome_of(answer) == "done");
         const nlohmann::json body = nlohmann::json::parse(answer.body);
         CHECK(body["path"] == "/a/b");
         CHECK(body["mark"] == "mine");
     }
-    SECTION("of an unknown service is told at once that nothing ran")
+    SECTION("for an unknown service is rejected at once as not run")
     {
-        const http::response answer = f.ask("/nothing/x");
+        const http::response answer = f.send_request("/nothing/x");
         CHECK(answer.status == 404);
         CHECK(fixture::outcome_of(answer) == "not-run");
         CHECK(http::find_header(answer.headers, "Plumspoke-Reason") == "unknown_service");
     }
-    SECTION("gets its final answer at the deadline, with when to come back")
+    SECTION("is answered at its deadline with a Retry-After header")
     {
-        const http::response answer = f.ask("/sync/x?ms=2500", {{"Plumspoke-Deadline-Ms", "100"}}, "sell");
+        const http::response answer =
+            f.send_request("/sync/x?ms=2500", {{"Plumspoke-Deadline-Ms", "100"}}, "sell");
         CHECK(answer.status == 504);
         CHECK(fixture::outcome_of(answer) == "unknown");
         CHECK_FALSE(http::find_header(answer.headers, "Retry-After").empty());
     }
-    SECTION("with a key gets the recorded outcome, and a refusal for another request under it")
+    SECTION("with a known idempotency key gets the recorded outcome, and is rejected if it differs")
     {
-        const http::response first = f.ask("/sync/x", {{"Idempotency-Key", "rug-17"}}, "sell");
+        const http::response first = f.send_request("/sync/x", {{"Idempotency-Key", "rug-17"}}, "sell");
         CHECK(first.status == 200);
-        const http::response again = f.ask("/sync/x", {{"Idempotency-Key", "rug-17"}}, "sell");
+        const http::response again = f.send_request("/sync/x", {{"Idempotency-Key", "rug-17"}}, "sell");
         CHECK(again.body == first.body);
         CHECK(http::find_header(again.headers, "Plumspoke-Repeated") == "true");
-        const http::response other = f.ask("/sync/x", {{"Idempotency-Key", "rug-17"}}, "sell two");
+        const http::response other = f.send_request("/sync/x", {{"Idempotency-Key", "rug-17"}}, "sell two");
         CHECK(other.status == 409);
         CHECK(fixture::outcome_of(other) == "not-run");
     }
-    SECTION("that misbehaves costs its own connection only")
+    SECTION("that is malformed affects only its own connection")
     {
-        CHECK(talk(f.entry_http, "complete nonsense\r\n\r\n").find("400") != std::string::npos);
-        CHECK(talk(f.entry_http, "POST /quick/x HTTP/1.1\r\nHost: x\r\nContent-Length: 5000\r\n\r\n")
+        CHECK(exchange_raw(f.entry_http, "complete nonsense\r\n\r\n").find("400") != std::string::npos);
+        CHECK(exchange_raw(f.entry_http, "POST /quick/x HTTP/1.1\r\nHost: x\r\nContent-Length: 5000\r\n\r\n")
                   .find(" 413 ") != std::string::npos);
-        // It announces more than it sends, then ends its side, or just waits.
-        CHECK(talk(f.entry_http, "POST /quick/x HTTP/1.1\r\nHost: x\r\nContent-Length: 50\r\n\r\nshort", true)
+        // The body is shorter than announced; the client shuts its side down or keeps the connection open.
+        CHECK(exchange_raw(
+                  f.entry_http, "POST /quick/x HTTP/1.1\r\nHost: x\r\nContent-Length: 50\r\n\r\nshort", true)
                   .find(" 400 ") != std::string::npos);
-        CHECK(talk(f.entry_http, "POST /quick/x HTTP/1.1\r\nHost: x\r\nContent-Length: 50\r\n\r\nshort")
-                  .find(" 400 ") != std::string::npos);
-        (void)talk(f.entry_http, "GET /quick/x HTT", true);
+        CHECK(
+            exchange_raw(f.entry_http, "POST /quick/x HTTP/1.1\r\nHost: x\r\nContent-Length: 50\r\n\r\nshort")
+                .find(" 400 ") != std::string::npos);
+        (void)exchange_raw(f.entry_http, "GET /quick/x HTT", true);
         const std::string large_head =
             "GET /quick/x HTTP/1.1\r\nHost: x\r\nX-Large: " + std::string(40000, 'x') + "\r\n\r\n";
-        CHECK(talk(f.entry_http, large_head).find(" 200 ") == std::string::npos);
-        const int vanishing = connect_to(f.entry_http);
-        (void)!::send(vanishing, "GET /quick/x?ms=50 HTTP/1.1\r\nHost: x\r\n\r\n", 39, MSG_NOSIGNAL);
-        ::close(vanishing);
-        CHECK(f.ask("/quick/x").status == 200);
+        CHECK(exchange_raw(f.entry_http, large_head).find(" 200 ") == std::string::npos);
+        const int abandoned = open_connection(f.entry_http);
+        (void)!::send(abandoned, "GET /quick/x?ms=50 HTTP/1.1\r\nHost: x\r\n\r\n", 39, MSG_NOSIGNAL);
+        ::close(abandoned);
+        CHECK(f.send_request("/quick/x").status == 200);
     }
-    SECTION("is answered by another worker when its endpoints fail, and told so when all are gone")
+    SECTION("is sent to another endpoint when one fails, and is rejected when all have failed")
     {
-        const std::string dead = test::free_address();
-        f.configure({f.worker_options.endpoint, dead, test::free_address()});
+        const std::string unused_address = test::free_address();
+        f.configure({f.worker_options.endpoint, unused_address, test::free_address()});
         for (int i = 0; i < 30; ++i)
         {
-            CHECK(f.ask("/quick/x").status == 200);
+            CHECK(f.send_request("/quick/x").status == 200);
         }
         for (int i = 0; i < 10; ++i)
         {
             const http::response answer =
-                f.ask("/sync/x", {}, "sell"); // never left: it may be sent elsewhere
+                f.send_request("/sync/x", {}, "sell"); // a refused connection is safe to retry elsewhere
             CHECK(fixture::outcome_of(answer) == "done");
         }
         f.worker->stop();
@@ -255,72 +260,72 @@
         CHECK(wait_until(
             [&]
             {
-                answer = f.ask("/sync/x", {}, "sell");
+                answer = f.send_request("/sync/x", {}, "sell");
                 return answer.status == 503;
             }));
         CHECK(fixture::outcome_of(answer) == "not-run");
     }
-    SECTION("never meets another's late answer")
+    SECTION("never gets the answer to another request")
     {
-        // An endpoint that answers in the name of the request before.
+        // This endpoint labels each answer with the id of the previous request.
         http::server_options options;
         options.address = test::free_address();
         std::string before = "e1-other-1";
-        http::server confused(options,
-                              [&before](const http::request& received)
-                              {
-                                  http::response answer;
-                                  answer.headers.push_back({"Plumspoke-Request", before});
-                                  before = http::find_header(received.headers, "Plumspoke-Request");
-                                  answer.body = "not yours";
-                                  return answer;
-                              });
-        REQUIRE(confused.start());
+        http::server stale_responder(options,
+                                     [&before](const http::request& received)
+                                     {
+                                         http::response answer;
+                                         answer.headers.push_back({"Plumspoke-Request", before});
+                                         before = http::find_header(received.headers, "Plumspoke-Request");
+                                         answer.body = "not yours";
+                                         return answer;
+                                     });
+        REQUIRE(stale_responder.start());
         f.configure({f.worker_options.endpoint, options.address});
         for (int i = 0; i < 30; ++i)
         {
-            CHECK(f.ask("/quick/x").body.find("not yours") == std::string::npos);
+            CHECK(f.send_request("/quick/x").body.find("not yours") == std::string::npos);
         }
     }
-    SECTION("is not sent to an endpoint that says it is leaving, after its first word")
+    SECTION("is not sent to an endpoint after that has announced that it is leaving")
     {
-        std::atomic<int> asked{0};
+        std::atomic<int> request_count{0};
         http::server_options options;
         options.address = test::free_address();
-        http::server leaver(options,
-                            [&asked](const http::request& /*received*/)
-                            {
-                                ++asked;
-                                http::response answer;
-                                answer.headers.push_back({"Plumspoke-Leaving", "true"});
-                                return answer;
-                            });
-        REQUIRE(leaver.start());
+        http::server leaving_endpoint(options,
+                                      [&request_count](const http::request& /*received*/)
+                                      {
+                                          ++request_count;
+                                          http::response answer;
+                                          answer.headers.push_back({"Plumspoke-Leaving", "true"});
+                                          return answer;
+                                      });
+        REQUIRE(leaving_endpoint.start());
         f.configure({f.worker_options.endpoint, options.address});
         REQUIRE(wait_until(
             [&]
             {
-                (void)f.ask("/quick/x");
-                return asked > 0;
+                (void)f.send_request("/quick/x");
+                return request_count > 0;
             }));
-        const int before = asked;
+        const int before = request_count;
         for (int i = 0; i < 40; ++i)
         {
-            CHECK(f.ask("/quick/x").status == 200);
+            CHECK(f.send_request("/quick/x").status == 200);
         }
-        CHECK(asked == before);
+        CHECK(request_count == before);
     }
-    SECTION("in flight at a planned stop has its answer whole")
+    SECTION("in flight during a planned stop gets its complete answer")
     {
         std::vector<std::thread> callers;
         callers.reserve(6);
-        std::atomic<int> whole{0};
+        std::atomic<int> complete_answers{0};
         for (int i = 0; i < 6; ++i)
         {
             callers.emplace_back(
                 [&]
                 {
-                    whole += f.ask("/quick/x?ms=600").status == 200 ? 1 : 0;
+                    complete_answers += f.send_request("/quick/x?ms=600").status == 200 ? 1 : 0;
                 });
         }
         std::this_thread::sleep_for(milliseconds(200));
@@ -329,27 +334,27 @@
         {
             one.join();
         }
-        CHECK(whole == 6);
+        CHECK(complete_answers == 6);
     }
-    SECTION("stops being served when control has been gone for longer than the lease")
+    SECTION("is rejected once control has been unavailable for longer than the lease")
     {
         f.control->stop();
         CHECK(wait_until(
             [&]
             {
-                return f.ask("/quick/x").status == 503;
+                return f.send_request("/quick/x").status == 503;
             }));
-        const http::response answer = f.ask("/quick/x");
+        const http::response answer = f.send_request("/quick/x");
         CHECK(http::find_header(answer.headers, "Plumspoke-Reason") == "not_serving");
         CHECK(fixture::outcome_of(answer) == "not-run");
-        CHECK(f.ask("/_plumspoke/ready").status == 503);
+        CHECK(f.send_request("/_plumspoke/ready").status == 503);
     }
 }
 
-TEST_CASE("docs/COUNTERS.md names just the counters that there are")
+TEST_CASE("docs/COUNTERS.md lists exactly the exported counters")
 {
     fixture f;
-    std::set<std::string> own;
+    std::set<std::string> exported;
     for (const std::string& address : {f.entry_http, f.control_http})
     {
         http::request sent;
@@ -362,7 +367,7 @@
         {
             if (line.starts_with("# TYPE "))
             {
-                own.insert(line.substr(7, line.find(' ', 7) - 7));
+                exported.insert(line.substr(7, line.find(' ', 7) - 7));
             }
         }
     }
@@ -375,15 +380,15 @@
             documented.insert(line.substr(3, line.find('`', 3) - 3));
         }
     }
-    CHECK(own == documented);
+    CHECK(exported == documented);
 }
 
-TEST_CASE("control's interface")
+TEST_CASE("the control interface")
 {
     fixture f;
     operators::control_api_client caller({f.control_http}, milliseconds(5000));
 
-    SECTION("lists each fault of a document with its path, and changes nothing")
+    SECTION("reports each fault of a document with its path and changes nothing")
     {
         const operators::control_answer answer =
             caller.post("/v1/plans",
@@ -398,7 +403,7 @@
         CHECK(caller.post("/v1/workers/report", {{"worker", "w9"}}).status == 400);
         CHECK(caller.get("/v1/nothing").status == 404);
     }
-    SECTION("runs a job and explains it")
+    SECTION("runs a job and explains its decisions")
     {
         const nlohmann::json job = {{"id", "marking-1"},
                                     {"team", "judge"},
@@ -412,11 +417,11 @@
             }));
         CHECK(caller.get("/v1/jobs/marking-1").body["result"] == "result of marking-1 under token 1");
         CHECK(caller.get("/v1/explain/marking-1").accepted());
-        CHECK(caller.post("/v1/jobs", job).accepted()); // a resend
-        nlohmann::json giant = job;
-        giant["id"] = "giant";
-        giant["needs"]["cores"] = 11;
-        const operators::control_answer refused = caller.post("/v1/jobs", giant);
+        CHECK(caller.post("/v1/jobs", job).accepted()); // a repeated submission is accepted
+        nlohmann::json oversized = job;
+        oversized["id"] = "giant";
+        oversized["needs"]["cores"] = 11;
+        const operators::control_answer refused = caller.post("/v1/jobs", oversized);
         CHECK(refused.status == 422);
         CHECK(refused.body["message"].get<std::string>().find("quota of team judge") != std::string::npos);
     }
--- a/tests/src/unit-worker_introduction.cpp
+++ b/tests/src/unit-worker_introduction.cpp
@@ -1,10 +1,10 @@
 /// @file
-/// @brief An order reaches the life of a worker that it is meant for, and no other one.
+/// @brief An order is delivered only to the life of a worker that it is addressed to.
 ///
-/// A worker may start again under its id and at its address. A poll that was meant for the earlier life named
-/// the ends that were read of it, and a lease on its clock; to the new life both say something else. The
-/// header that names the worker is the same for both, so each connection asks which life it ends at before it
-/// carries an order.
+/// A worker may restart under the same id and address. A poll for the previous life contains the number of
+/// its finished runs that were processed and a lease on its clock, and both mean something else to the new
+/// life. The header that identifies the worker is the same for both, so each connection asks for the time of
+/// birth before it carries an order.
 
 #include "plumspoke/job_server/worker_client.hpp"
 
@@ -20,11 +20,11 @@
 namespace
 {
 
-/// @brief A worker's process: answers each request with its time of birth, and notes what it was asked.
-class process
+/// @brief A worker that answers each request with its time of birth and records the requested paths.
+class worker_process
 {
   public:
-    explicit process(boost::asio::io_context& context)
+    explicit worker_process(boost::asio::io_context& context)
         : acceptor_(context, tcp::endpoint(boost::asio::ip::address_v4::loopback(), 0))
     {
         accept();
@@ -35,20 +35,20 @@
         return "127.0.0.1:" + std::to_string(acceptor_.local_endpoint().port());
     }
 
-    /// @brief It ends, with its connections, and another life answers at its address.
-    void start_again(std::int64_t born)
+    /// @brief Closes all connections and continues as another life at the same address.
+    void restart(std::int64_t new_born_ms)
     {
         for (const std::shared_ptr<peer>& one : peers_)
         {
             one->socket.close();
         }
         peers_.clear();
-        born_ms = born;
-        asked.clear();
+        born_ms = new_born_ms;
+        received_paths.clear();
     }
 
     std::int64_t born_ms = 100;
-    std::vector<std::string> asked; // paths
+    std::vector<std::string> received_paths;
 
   private:
     struct peer
@@ -63,9 +63,9 @@
     void accept()
     {
         acceptor_.async_accept(
-            [this](boost::system::error_code failed, tcp::socket accepted)
+            [this](boost::system::error_code error, tcp::socket accepted)
             {
-                if (!failed)
+                if (!error)
                 {
                     peers_.push_back(std::make_shared<peer>(std::move(accepted)));
                     serve(peers_.back());
@@ -80,14 +80,14 @@
             to->socket,
             boost::asio::dynamic_buffer(to->read),
             "\r\n\r\n",
-            [this, to](boost::system::error_code failed, std::size_t size)
+            [this, to](boost::system::error_code error, std::size_t size)
             {
-                if (failed)
+                if (error)
                 {
                     return;
                 }
                 const std::size_t path = to->read.find(' ') + 1;
-                asked.push_back(to->read.substr(path, to->read.find(' ', path) - path));
+                received_paths.push_back(to->read.substr(path, to->read.find(' ', path) - path));
                 to->read.erase(0, size);
                 const std::string body = std::to_string(born_ms);
                 boost::asio::write(to->socket,
@@ -101,8 +101,8 @@
     std::vector<std::shared_ptr<peer>> peers_;
 };
 
-/// @brief Paths tell what an order would do; the body is a time of birth.
-class telling_protocol final : public protocol::worker_protocol
+/// @brief Maps each kind of order to a path; response bodies contain a time of birth.
+class path_protocol final : public protocol::worker_protocol
 {
   public:
     [[nodiscard]] http::request write(const dispatch::order& what) const override
@@ -110,20 +110,20 @@
         http::request out;
         out.method = "POST";
         out.path = "/start";
-        if (const auto* hold = std::get_if<dispatch::poll_order>(&what))
+        if (const auto* poll = std::get_if<dispatch::poll_order>(&what))
         {
-            out.path = hold->lease_until_ms.has_value() || hold->ends_recorded > 0 ? "/renew" : "/ask";
+            out.path = poll->lease_until_ms.has_value() || poll->ends_recorded > 0 ? "/renew" : "/ask";
         }
         return out;
     }
     [[nodiscard]] dispatch::worker_answer read(const dispatch::order& what,
-                                               const http::response& got) const override
+                                               const http::response& answer) const override
     {
         dispatch::worker_answer out;
         out.how = dispatch::reply::done;
         if (std::holds_alternative<dispatch::poll_order>(what))
         {
-            out.born_ms = std::stoll(got.body);
+            out.born_ms = std::stoll(answer.body);
         }
         return out;
     }
@@ -133,13 +133,13 @@
 {
     dispatch::worker_answer call(dispatch::order what)
     {
-        ended.reset();
+        last_answer.reset();
         caller.send(std::move(what));
-        while (!ended.has_value())
+        while (!last_answer.has_value())
         {
             context.run_one();
         }
-        return *ended;
+        return *last_answer;
     }
 
     [[nodiscard]] dispatch::recipient to(std::int64_t born_ms) const
@@ -148,14 +148,14 @@
     }
 
     boost::asio::io_context context;
-    process worker{context};
-    telling_protocol protocol;
-    std::optional<dispatch::worker_answer> ended;
+    worker_process worker{context};
+    path_protocol protocol;
+    std::optional<dispatch::worker_answer> last_answer;
     worker_client caller{context,
                          protocol,
-                         [this](const dispatch::sent_order&, const dispatch::worker_answer& got)
+                         [this](const dispatch::sent_order&, const dispatch::worker_answer& answer)
                          {
-                             ended = got;
+                             last_answer = answer;
                          }};
 };
 
@@ -163,45 +163,45 @@
 
 } // namespace
 
-TEST_CASE("a connection asks which life it ends at before it carries an order, once")
+TEST_CASE("a connection asks once for the life of the worker before it carries an order")
 {
     fixture f;
     const dispatch::start_order start{f.to(100), 7, 0, {}, {}, {}, {}};
     CHECK(f.call(start).how == dispatch::reply::done);
     CHECK(f.call(start).how == dispatch::reply::done);
-    CHECK(f.worker.asked == paths{"/ask", "/start", "/start"});
+    CHECK(f.worker.received_paths == paths{"/ask", "/start", "/start"});
 }
 
-TEST_CASE("a poll that only asks needs no question before it")
+TEST_CASE("a poll without a lease or finished runs is sent without asking first")
 {
     fixture f;
     CHECK(f.call(dispatch::poll_order{f.to(100), 7, {}, 0, 0}).born_ms == 100);
     CHECK(f.call(dispatch::poll_order{f.to(100), 7, 4000, 5, 0}).how == dispatch::reply::done);
-    CHECK(f.worker.asked == paths{"/ask", "/renew"});
+    CHECK(f.worker.received_paths == paths{"/ask", "/renew"});
 }
 
-TEST_CASE("what is meant for an earlier life doesn't reach the next one")
+TEST_CASE("orders for a previous life aren't delivered to the next one")
 {
     fixture f;
     const dispatch::start_order start{f.to(100), 7, 0, {}, {}, {}, {}};
     const dispatch::poll_order renewal{f.to(100), 7, 4000, 5, 0};
     CHECK(f.call(start).how == dispatch::reply::done);
     CHECK(f.call(renewal).how == dispatch::reply::done);
-    f.worker.start_again(90); // its clock was put back
+    f.worker.restart(90); // the clock was set back
     CHECK(f.call(start).how == dispatch::reply::none);
     CHECK(f.call(renewal).how == dispatch::reply::none);
-    const dispatch::worker_answer to_start = f.call(start);
-    CHECK(to_start.how == dispatch::reply::other_life);
-    CHECK(to_start.born_ms == 90);
+    const dispatch::worker_answer start_answer = f.call(start);
+    CHECK(start_answer.how == dispatch::reply::other_life);
+    CHECK(start_answer.born_ms == 90);
     CHECK(f.call(renewal).how == dispatch::reply::other_life);
     CHECK(f.call(start).how == dispatch::reply::other_life);
-    CHECK(f.worker.asked == paths{"/ask", "/ask", "/ask"});
+    CHECK(f.worker.received_paths == paths{"/ask", "/ask", "/ask"});
     CHECK(f.call(dispatch::start_order{f.to(90), 7, 0, {}, {}, {}, {}}).how == dispatch::reply::done);
 }
 
-TEST_CASE("a worker that tells no time of birth is asked for none")
+TEST_CASE("a worker without a time of birth isn't asked for it")
 {
     fixture f;
     CHECK(f.call(dispatch::start_order{f.to(0), 7, 0, {}, {}, {}, {}}).how == dispatch::reply::done);
-    CHECK(f.worker.asked == paths{"/start"});
+    CHECK(f.worker.received_paths == paths{"/start"});
 }
