--- a/tests/src/unit-logging.cpp
+++ b/tests/src/unit-logging.cpp
@@ -43,10 +43,10 @@
     /// @brief Reads at most `max_bytes` bytes from the pipe.
     [[nodiscard]] std::string read(std::size_t max_bytes) const
     {
-        std::string out(max_bytes, '\0');
-        const ssize_t got = ::read(ends_[0], out.data(), out.size());
-        out.resize(got < 0 ? 0 : static_cast<std::size_t>(got));
-        return out;
+        std::string text(max_bytes, '\0');
+        const ssize_t bytes_read = ::read(ends_[0], text.data(), text.size());
+        text.resize(bytes_read < 0 ? 0 : static_cast<std::size_t>(bytes_read));
+        return text;
     }
 
   private:
--- a/tests/src/unit-lost_listener.cpp
+++ b/tests/src/unit-lost_listener.cpp
@@ -30,12 +30,13 @@
   public:
     explicit descriptor_exhaustion(rlim_t limit)
     {
-        REQUIRE(::getrlimit(RLIMIT_NOFILE, &before_) == 0);
-        const rlimit low{limit, before_.rlim_max};
-        REQUIRE(::setrlimit(RLIMIT_NOFILE, &low) == 0);
-        for (int one = ::open("/dev/null", O_RDONLY); one >= 0; one = ::open("/dev/null", O_RDONLY))
+        REQUIRE(::getrlimit(RLIMIT_NOFILE, &original_limit_) == 0);
+        const rlimit lowered{limit, original_limit_.rlim_max};
+        REQUIRE(::setrlimit(RLIMIT_NOFILE, &lowered) == 0);
+        for (int descriptor = ::open("/dev/null", O_RDONLY); descriptor >= 0;
+             descriptor = ::open("/dev/null", O_RDONLY))
         {
-            opened_.push_back(one);
+            opened_.push_back(descriptor);
         }
     }
     descriptor_exhaustion(const descriptor_exhaustion&) = delete;
@@ -43,11 +44,11 @@
     ~descriptor_exhaustion()
     {
         std::for_each(opened_.begin(), opened_.end(), &::close);
-        (void)::setrlimit(RLIMIT_NOFILE, &before_);
+        (void)::setrlimit(RLIMIT_NOFILE, &original_limit_);
     }
 
   private:
-    rlimit before_{};
+    rlimit original_limit_{};
     std::vector<int> opened_;
 };
 
@@ -59,8 +60,8 @@
     wire::LeaderAnswer answer;
     const time_point started = std::chrono::steady_clock::now();
     const grpc::Status status = to.stub().Leader(&context, {}, &answer);
-    const auto took = std::chrono::duration_cast<milliseconds>(std::chrono::steady_clock::now() - started);
-    UNSCOPED_INFO("call took " << took.count() << " ms: code " << status.error_code() << ", "
+    const auto elapsed = std::chrono::duration_cast<milliseconds>(std::chrono::steady_clock::now() - started);
+    UNSCOPED_INFO("call took " << elapsed.count() << " ms: code " << status.error_code() << ", "
                                << status.error_message());
     return status.ok();
 }
--- a/tests/src/unit-owed_work.cpp
+++ b/tests/src/unit-owed_work.cpp
@@ -14,7 +14,7 @@
 namespace
 {
 
-busy_outcome play(double processor)
+busy_outcome simulate(double processor)
 {
     busy_load load = busy_load::of_wide_steps(1800);
     load.processor = processor;
@@ -26,9 +26,9 @@
 
 TEST_CASE("a leader with a limited processor completes nearly as many tasks as an unlimited one")
 {
-    const busy_outcome unlimited = play(0);
+    const busy_outcome unlimited = simulate(0);
     // A quarter of the leader's 0.6 processors serves peers and callers.
-    const busy_outcome limited = play(0.45);
+    const busy_outcome limited = simulate(0.45);
     INFO(limited.done << " tasks done of " << unlimited.done << ", " << limited.polls << " polls, "
                       << limited.decisions << " decisions");
     CHECK(static_cast<double>(limited.done) > 0.95 * static_cast<double>(unlimited.done));
--- a/tests/src/unit-platform_translation.cpp
+++ b/tests/src/unit-platform_translation.cpp
@@ -19,13 +19,13 @@
 
 http::request make_request(const std::string& method, const std::string& path, const std::string& body = {})
 {
-    http::request out;
-    out.method = method;
-    out.path = path;
-    out.body = body;
-    out.headers.push_back({"Host", "h.example:8080"});
-    out.headers.push_back({"Deadline-Ms", "2500"});
-    return out;
+    http::request request;
+    request.method = method;
+    request.path = path;
+    request.body = body;
+    request.headers.push_back({"Host", "h.example:8080"});
+    request.headers.push_back({"Deadline-Ms", "2500"});
+    return request;
 }
 
 std::string rejection_of(const std::string& body)
--- a/tests/src/unit-reborn_workers.cpp
+++ b/tests/src/unit-reborn_workers.cpp
@@ -35,9 +35,9 @@
     const task_outcome outcome = world.run(seconds(60), 8);
     INFO("seed " << seed << ", " << outcome.starts << " starts, " << outcome.workers_crashed
                  << " worker crashes, " << outcome.leaders << " leaders");
-    for (const std::string& one : outcome.broken)
+    for (const std::string& violation : outcome.broken)
     {
-        UNSCOPED_INFO(one);
+        UNSCOPED_INFO(violation);
     }
     CHECK(outcome.broken.empty());
     CHECK(outcome.open == 0);
@@ -130,9 +130,9 @@
         world.make_crashing({"guilty", 0, 0, 0});
         const task_outcome outcome = world.run(seconds(90), 12);
         INFO("seed " << seed << ", " << outcome.workers_crashed << " worker crashes");
-        for (const std::string& one : outcome.broken)
+        for (const std::string& violation : outcome.broken)
         {
-            UNSCOPED_INFO(one);
+            UNSCOPED_INFO(violation);
         }
         CHECK(outcome.broken.empty());
         CHECK(world.state().find("guilty")->phase == jobs::job_phase::failed);
--- a/tests/src/unit-waiting_jobs.cpp
+++ b/tests/src/unit-waiting_jobs.cpp
@@ -52,7 +52,7 @@
 }
 
 /// @brief Advances the time; polls are answered with these rows, starts and stops remain unanswered.
-void advance(fixture& f, duration elapsed, const std::vector<running_row>& rows = {})
+void advance_time(fixture& f, duration elapsed, const std::vector<running_row>& rows = {})
 {
     for (const time_point end = f.now + elapsed; f.now < end;)
     {
@@ -82,14 +82,14 @@
 
     SECTION("while the start orders are in flight")
     {
-        advance(f, seconds(3));
+        advance_time(f, seconds(3));
         CHECK(pending(f.state) == submitted_jobs);
     }
     SECTION("when none was answered and their leases have expired")
     {
-        for (const start_order& one : f.sent<start_order>())
+        for (const start_order& order_sent : f.sent<start_order>())
         {
-            f.answer(one, {reply::none, {}, {}, {}});
+            f.answer(order_sent, {reply::none, {}, {}, {}});
         }
         for (const time_point end = f.now + seconds(8); f.now < end;)
         {
@@ -102,9 +102,9 @@
     }
     SECTION("when the worker rejects them")
     {
-        for (const start_order& one : f.sent<start_order>())
+        for (const start_order& order_sent : f.sent<start_order>())
         {
-            f.answer(one, {reply::no_room, {}, {}, {}});
+            f.answer(order_sent, {reply::no_room, {}, {}, {}});
         }
         f.decide();
         f.commit();
@@ -134,14 +134,14 @@
     SECTION("the worker accepts the start")
     {
         f.answer(sent, successful_answer());
-        advance(f, seconds(1), {{sent.name, "", 10, 0}});
+        advance_time(f, seconds(1), {{sent.name, "", 10, 0}});
         CHECK(phase() == jobs::job_phase::running);
         CHECK(pending(f.state) == 0);
     }
     SECTION("the worker lists the run although the answer to the start was lost")
     {
         f.answer(sent, {reply::none, {}, {}, {}});
-        advance(f, seconds(1), {{sent.name, "", 10, 0}});
+        advance_time(f, seconds(1), {{sent.name, "", 10, 0}});
         CHECK(phase() == jobs::job_phase::running);
         CHECK(pending(f.state) == 0);
     }
@@ -172,7 +172,7 @@
     SECTION("a begun job doesn't return to waiting when its worker is lost")
     {
         f.answer(sent, successful_answer());
-        advance(f, seconds(1), {{sent.name, "", 10, 0}});
+        advance_time(f, seconds(1), {{sent.name, "", 10, 0}});
         f.leader.departed(f.now, {"w1"});
         f.decide(milliseconds(600));
         f.commit();
@@ -191,7 +191,7 @@
 
     SECTION("within a second, even if nothing else has to be recorded")
     {
-        advance(f, seconds(1), {{sent.name, "", 10, 0}});
+        advance_time(f, seconds(1), {{sent.name, "", 10, 0}});
         jobs::store copy;
         REQUIRE(copy.restore(f.state.save()));
         CHECK(pending(copy) == 0);
@@ -202,12 +202,12 @@
         {
             f.decide(milliseconds(50));
             f.answer_polls({{sent.name, "", 10, 0}});
-            for (const planned_round& one : std::exchange(f.rounds, {}))
+            for (const planned_round& lost_round : std::exchange(f.rounds, {}))
             {
-                f.leader.round_ended(f.now, one.id, std::nullopt);
+                f.leader.round_ended(f.now, lost_round.id, std::nullopt);
             }
         }
-        advance(f, seconds(1), {{sent.name, "", 10, 0}});
+        advance_time(f, seconds(1), {{sent.name, "", 10, 0}});
         CHECK(pending(f.state) == 0);
     }
     SECTION("or the next leader learns it from the worker")
@@ -215,7 +215,7 @@
         f.rounds.clear();
         f.open_polls.clear();
         f.leader.lead(f.now, 8, f.state);
-        advance(f, seconds(1), {{sent.name, "", 10, 0}});
+        advance_time(f, seconds(1), {{sent.name, "", 10, 0}});
         CHECK(pending(f.state) == 0);
     }
 }
--- a/tests/src/unit-whole_path.cpp
+++ b/tests/src/unit-whole_path.cpp
@@ -330,9 +330,9 @@
         }
         std::this_thread::sleep_for(milliseconds(200));
         f.entry->stop();
-        for (std::thread& one : callers)
+        for (std::thread& thread : callers)
         {
-            one.join();
+            thread.join();
         }
         CHECK(complete_answers == 6);
     }
--- a/tests/src/unit-worker_introduction.cpp
+++ b/tests/src/unit-worker_introduction.cpp
@@ -38,9 +38,9 @@
     /// @brief Closes all connections and continues as another life at the same address.
     void restart(std::int64_t new_born_ms)
     {
-        for (const std::shared_ptr<peer>& one : peers_)
+        for (const std::shared_ptr<peer>& connection : peers_)
         {
-            one->socket.close();
+            connection->socket.close();
         }
         peers_.clear();
         born_ms = new_born_ms;
