--- a/tests/src/unit-owed_starts.cpp
+++ b/tests/src/unit-owed_starts.cpp
@@ -26,7 +26,7 @@
 constexpr int duration_s = 18;
 constexpr double due_starts_per_s = 2700; // tasks of the first and second steps of arriving runs
 
-struct simulation_result
+struct leader_result
 {
     busy_outcome outcome;
     std::ptrdiff_t waiting = 0; // tasks, including those of steps that depend on an unfinished step
@@ -53,7 +53,7 @@
     return waiting;
 }
 
-simulation_result simulate(double processor)
+leader_result simulate(double processor)
 {
     busy_load load = busy_load::of_wide_steps(1800);
     load.lasting_jobs_at_once = 0.15; // leaves half of the fleet free, so that capacity isn't the bottleneck
@@ -61,7 +61,7 @@
     load.processor = processor;
     load.call_cost = std::chrono::microseconds(20); // per order or response; from a profile of such a leader
     busy_fleet fleet(load);
-    simulation_result result;
+    leader_result result;
     result.outcome = fleet.run(seconds(duration_s));
     result.waiting = count_waiting(fleet.state());
     return result;
@@ -71,9 +71,9 @@
 
 TEST_CASE("a leader's processor limit delays less than one second of due task starts")
 {
-    const simulation_result unlimited = simulate(0);
+    const leader_result unlimited = simulate(0);
     // A quarter of the leader's 0.6 processors serves peers and callers.
-    const simulation_result limited = simulate(0.45);
+    const leader_result limited = simulate(0.45);
     INFO(limited.waiting << " tasks wait with a limited processor, " << unlimited.waiting
                          << " with an unlimited one; " << limited.outcome.done << " and "
                          << unlimited.outcome.done << " done, " << limited.outcome.decisions << " decisions");
